--- a/src/main/java/hazelspoke/bench/scale/ListScale.java
+++ b/src/main/java/hazelspoke/bench/scale/ListScale.java
@@ -167,7 +167,7 @@
                   new HostEntry(
                       started.host(),
                       started.weight(),
-                      started.kind(),
+                      started.hardwareType(),
                       started.zone(),
                       started.cell(),
                       started.availability(),
@@ -266,7 +266,7 @@
     }
 
     @Override
-    public void refuse(String requestId, double retryAfterMs) {}
+    public void reject(String requestId, double retryAfterMs) {}
 
     @Override
     public void fail(String requestId) {}
@@ -290,7 +290,7 @@
     public void watch(boolean on) {}
 
     @Override
-    public void tellPeer(int peer, String data) {}
+    public void sendToPeer(int peer, String data) {}
 
     @Override
     public void log(String line) {}
--- a/src/main/java/hazelspoke/core/Dispatcher.java
+++ b/src/main/java/hazelspoke/core/Dispatcher.java
@@ -149,7 +149,7 @@
   private void abandon(Exchange x) {
     if (!x.ended) {
       answer(x, Answer.failed(false));
-      decide(null, () -> balancer.onClientGone(clock.nowMs(), x.id));
+      decide(null, () -> balancer.onClientDisconnected(clock.nowMs(), x.id));
       List.copyOf(x.attempts).forEach(Attempt::cancel);
     }
   }
@@ -160,7 +160,7 @@
     for (HostList.Listed host : update.hosts()) {
       HostEntry entry = host.entry();
       entries.add(entry);
-      if (entry.availability() == Availability.GONE) {
+      if (entry.availability() == Availability.REMOVED) {
         hosts.forget(entry.host());
       } else if (host.address() != null) {
         HostEntry displaced = hosts.setAddress(entry, host.address());
@@ -170,13 +170,13 @@
       }
     }
     // Its address has another host now, whatever the list says of it yet.
-    gone.forEach(entry -> entries.add(entry.as(Availability.GONE)));
+    gone.forEach(entry -> entries.add(entry.withAvailability(Availability.REMOVED)));
     if (kind == MembersUpdate.Kind.FULL) {
       hosts.keepOnly(entries.stream().map(HostEntry::host).collect(Collectors.toSet()));
     }
     MembersUpdate news = new MembersUpdate(kind, update.version(), entries);
     decide(null, () -> balancer.onMembers(clock.nowMs(), news));
-    if (kind.isNews()) {
+    if (kind.hasEntries()) {
       cancelAtDraining(kind, entries);
     }
   }
@@ -215,7 +215,7 @@
 
   /** A call to discovery failed; whether because nothing was heard. */
   public void onDiscoveryFailed(boolean silent) {
-    MembersUpdate.Kind kind = silent ? MembersUpdate.Kind.SILENT : MembersUpdate.Kind.FAILED;
+    MembersUpdate.Kind kind = silent ? MembersUpdate.Kind.UNRESPONSIVE : MembersUpdate.Kind.FAILED;
     onMembers(kind, new HostList.Update(false, 0, List.of()));
   }
 
@@ -264,7 +264,7 @@
       exchanges.remove(x.id);
     }
     List<Double> report =
-        settings.reportMode() == Settings.ReportMode.WITH_ANSWERS
+        settings.reportMode() == Settings.ReportMode.WITH_RESPONSES
             ? names.report(loadReport)
             : List.of();
     double elapsedMs = attempt.elapsedMs();
@@ -332,7 +332,7 @@
     boolean sent = x.attempts.stream().anyMatch(Attempt::wasSent);
     end(x);
     meter.gone(sent);
-    decide(x, () -> balancer.onClientGone(clock.nowMs(), x.id));
+    decide(x, () -> balancer.onClientDisconnected(clock.nowMs(), x.id));
   }
 
   private void end(Exchange x) {
@@ -392,7 +392,7 @@
     double by = Double.POSITIVE_INFINITY;
     if (!x.ended && x.request().effect() == Settings.Effect.BY_KEY) {
       int c = x.request().requestClass();
-      double windowMs = settings.classes().get(c).windowMs() - settings.tickMs();
+      double windowMs = settings.classes().get(c).dedupWindowMs() - settings.tickMs();
       for (Attempt earlier : x.attempts) {
         if (earlier.mayRun()) {
           by = Math.min(by, earlier.startedAt() + windowMs);
@@ -403,7 +403,7 @@
   }
 
   @Override
-  public void refuse(String requestId, double retryAfterMs) {
+  public void reject(String requestId, double retryAfterMs) {
     Exchange x = exchanges.get(requestId);
     if (x != null) {
       answer(x, Answer.refused(retryAfterMs));
@@ -467,7 +467,7 @@
 
   /** No site that this gateway is built for lets gateways talk to one another. */
   @Override
-  public void tellPeer(int peer, String data) {
+  public void sendToPeer(int peer, String data) {
     log.line("a message to a peer was dropped: there is no way to one");
   }
 
--- a/src/main/java/hazelspoke/discovery/HostListJson.java
+++ b/src/main/java/hazelspoke/discovery/HostListJson.java
@@ -33,7 +33,7 @@
   public static HostList.Listed entry(JsonTree e, Names names) {
     String name = e.get("name").text(null);
     if (name == null) {
-      throw e.get("name").fail("is missing");
+      throw e.get("name").error("is missing");
     }
     int zone = names.zones().indexOf(e.get("zone").text(""));
     if (zone < 0) {
@@ -46,7 +46,7 @@
     }
     double weight = e.get("weight").number(1);
     if (weight < 0) {
-      throw e.get("weight").fail("is below 0");
+      throw e.get("weight").error("is below 0");
     }
     return new HostList.Listed(
         new HostEntry(
@@ -64,8 +64,8 @@
     return switch (status.text("")) {
       case "Ready" -> Availability.UP;
       case "Terminating" -> Availability.DRAINING;
-      case "Gone" -> Availability.GONE;
-      default -> throw status.fail("has an unknown value");
+      case "Gone" -> Availability.REMOVED;
+      default -> throw status.error("has an unknown value");
     };
   }
 }
--- a/src/main/java/ternscale/adapter/Adapter.java
+++ b/src/main/java/ternscale/adapter/Adapter.java
@@ -83,7 +83,7 @@
       case "CancelledByClient" -> {
         Balancer b = balancer(who);
         String call = in.text(Field.CALL);
-        yield () -> b.onClientGone(now, call);
+        yield () -> b.onClientDisconnected(now, call);
       }
       case "Accepted" -> accepted(balancer(who));
       case "Reminder" -> {
@@ -167,7 +167,7 @@
     String call = in.text(Field.CALL);
     int shot = in.smallOr(Field.SHOT, 0);
     String host = in.text(Field.HOST);
-    return () -> b.onAnswerStarted(now, call, shot, host);
+    return () -> b.onResponseStarted(now, call, shot, host);
   }
 
   private Runnable sampled(Balancer b) {
--- a/src/main/java/ternscale/adapter/JsonTree.java
+++ b/src/main/java/ternscale/adapter/JsonTree.java
@@ -74,7 +74,7 @@
       return new JsonTree(path + "." + key, null);
     }
     if (!(value instanceof Map<?, ?> map)) {
-      throw fail("is no object");
+      throw error("is no object");
     }
     return new JsonTree(path + "." + key, map.get(key));
   }
@@ -84,7 +84,7 @@
       return List.of();
     }
     if (!(value instanceof List<?> list)) {
-      throw fail("is no array");
+      throw error("is no array");
     }
     List<JsonTree> out = new ArrayList<>();
     for (int i = 0; i < list.size(); i++) {
@@ -98,7 +98,7 @@
       return absent;
     }
     if (!(value instanceof Double d) || !Double.isFinite(d)) {
-      throw fail("is no number");
+      throw error("is no number");
     }
     return d;
   }
@@ -106,7 +106,7 @@
   public int integer(int absent) {
     double d = number(absent);
     if (d != (int) d) {
-      throw fail("is no whole number");
+      throw error("is no whole number");
     }
     return (int) d;
   }
@@ -116,7 +116,7 @@
       return absent;
     }
     if (!(value instanceof Boolean b)) {
-      throw fail("is no boolean");
+      throw error("is no boolean");
     }
     return b;
   }
@@ -126,7 +126,7 @@
       return absent;
     }
     if (!(value instanceof String s)) {
-      throw fail("is no string");
+      throw error("is no string");
     }
     return s;
   }
@@ -153,7 +153,7 @@
         JsonTree mine = get((String) key);
         JsonTree its = model.get((String) key);
         if (mine.value == null && its.value != null) {
-          throw mine.fail("is missing");
+          throw mine.error("is missing");
         }
         mine.requireKeysOf(its);
       }
@@ -178,7 +178,7 @@
     return new JsonTree(path, common == null ? Map.of() : common);
   }
 
-  public WireException fail(String what) {
+  public WireException error(String what) {
     return new WireException("field " + path + " " + what);
   }
 }
--- a/src/main/java/ternscale/adapter/SettingsReader.java
+++ b/src/main/java/ternscale/adapter/SettingsReader.java
@@ -58,17 +58,17 @@
       case "repeatable" -> Settings.Effect.REPEATABLE;
       case "by_key" -> Settings.Effect.BY_KEY;
       case "once" -> Settings.Effect.ONCE;
-      default -> throw t.fail("has the unknown value " + word);
+      default -> throw t.error("has the unknown value " + word);
     };
   }
 
-  private static Settings.Group group(JsonTree t) {
+  private static Settings.DedupScope group(JsonTree t) {
     String word = t.text("all");
     return switch (word) {
-      case "all" -> Settings.Group.ALL;
-      case "zone" -> Settings.Group.ZONE;
-      case "cell" -> Settings.Group.CELL;
-      default -> throw t.fail("has the unknown value " + word);
+      case "all" -> Settings.DedupScope.ALL;
+      case "zone" -> Settings.DedupScope.ZONE;
+      case "cell" -> Settings.DedupScope.CELL;
+      default -> throw t.error("has the unknown value " + word);
     };
   }
 
@@ -105,8 +105,8 @@
         r.get("must_ask_in").number(0));
   }
 
-  private static Settings.Prices prices(JsonTree p) {
-    return new Settings.Prices(
+  private static Settings.Costs prices(JsonTree p) {
+    return new Settings.Costs(
         p.get("cross_zone").number(0),
         p.get("probe").number(0),
         p.get("waste").number(0),
@@ -114,8 +114,8 @@
         p.get("handshake").number(0));
   }
 
-  private static Settings.Goal goal(JsonTree g) {
-    return new Settings.Goal(
+  private static Settings.Objective goal(JsonTree g) {
+    return new Settings.Objective(
         g.get("whole").number(1),
         g.get("worst_window").number(0),
         g.get("worst_class").number(0),
@@ -125,10 +125,10 @@
   private static Settings.ReportMode reportMode(JsonTree how) {
     String word = how.text("silent");
     return switch (word) {
-      case "piggyback" -> Settings.ReportMode.WITH_ANSWERS;
+      case "piggyback" -> Settings.ReportMode.WITH_RESPONSES;
       case "pull" -> Settings.ReportMode.WITH_PROBES;
       case "silent" -> Settings.ReportMode.NONE;
-      default -> throw how.fail("has the unknown value " + word);
+      default -> throw how.error("has the unknown value " + word);
     };
   }
 
@@ -156,7 +156,7 @@
       case "rough" -> Settings.WeightMeaning.ROUGH;
       case "live" -> Settings.WeightMeaning.LIVE;
       case "silent" -> Settings.WeightMeaning.NONE;
-      default -> throw t.fail("has the unknown value " + word);
+      default -> throw t.error("has the unknown value " + word);
     };
   }
 }
--- a/src/main/java/ternscale/adapter/WireWriter.java
+++ b/src/main/java/ternscale/adapter/WireWriter.java
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void refuse(String requestId, double retryAfterMs) {
+    public void reject(String requestId, double retryAfterMs) {
       action(
           "Shed",
           who,
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void tellPeer(int peer, String data) {
+    public void sendToPeer(int peer, String data) {
       action(
           "Tell",
           who,
--- a/src/main/java/ternscale/api/Actions.java
+++ b/src/main/java/ternscale/api/Actions.java
@@ -11,7 +11,7 @@
   void send(String requestId, String host, double timeoutMs);
 
   /** Final answer: refused, a new try is harmless. {@code retryAfterMs} of 0 gives no advice. */
-  void refuse(String requestId, double retryAfterMs);
+  void reject(String requestId, double retryAfterMs);
 
   /** Final answer: failed, with no promise about its effect. */
   void fail(String requestId);
@@ -35,7 +35,7 @@
   void watch(boolean on);
 
   /** Sends a few bytes to a peer; {@code peer} below 0 means all of them. */
-  void tellPeer(int peer, String data);
+  void sendToPeer(int peer, String data);
 
   /** A line for the operators' log. */
   void log(String line);
--- a/src/main/java/ternscale/api/Balancer.java
+++ b/src/main/java/ternscale/api/Balancer.java
@@ -18,13 +18,13 @@
   void onRequest(double now, RequestInfo request);
 
   /** The client of a request left; no answer is owed any more. */
-  void onClientGone(double now, String requestId);
+  void onClientDisconnected(double now, String requestId);
 
   /** An attempt ended. */
   void onOutcome(double now, Outcome outcome);
 
   /** A streamed answer has begun; the attempt now belongs to the client. */
-  void onAnswerStarted(double now, String requestId, int attempt, String host);
+  void onResponseStarted(double now, String requestId, int attempt, String host);
 
   /** A timer came due. */
   void onTimer(double now, long timer);
--- a/src/main/java/ternscale/api/HostEntry.java
+++ b/src/main/java/ternscale/api/HostEntry.java
@@ -6,7 +6,7 @@
 public record HostEntry(
     String host,
     double weight,
-    int kind,
+    int hardwareType,
     int zone,
     int cell,
     Availability availability,
@@ -15,7 +15,7 @@
   public enum Availability {
     UP,
     DRAINING,
-    GONE
+    REMOVED
   }
 
   public HostEntry {
@@ -27,7 +27,7 @@
   }
 
   /** The same host with other news of whether it may be sent to. */
-  public HostEntry as(Availability now) {
-    return new HostEntry(host, weight, kind, zone, cell, now, startedAt);
+  public HostEntry withAvailability(Availability now) {
+    return new HostEntry(host, weight, hardwareType, zone, cell, now, startedAt);
   }
 }
--- a/src/main/java/ternscale/api/MembersUpdate.java
+++ b/src/main/java/ternscale/api/MembersUpdate.java
@@ -16,11 +16,11 @@
     /** A call failed or the subscription broke; no entries. */
     FAILED,
     /** A call or the subscription fell silent, so that news may have been missed; no entries. */
-    SILENT;
+    UNRESPONSIVE;
 
     /** Whether entries come with it. */
-    public boolean isNews() {
-      return this != FAILED && this != SILENT;
+    public boolean hasEntries() {
+      return this != FAILED && this != UNRESPONSIVE;
     }
   }
 
--- a/src/main/java/ternscale/api/Outcome.java
+++ b/src/main/java/ternscale/api/Outcome.java
@@ -4,8 +4,8 @@
 import java.util.Objects;
 
 /**
- * How an attempt ended. {@code report} is empty when no load report came along; for {@code ownMs}
- * of the time elapsed the gateway itself was behind, and not the host.
+ * How an attempt ended. {@code report} is empty when no load report came along; for
+ * {@code gatewayDelayMs} of the elapsed time the gateway itself was late, not the host.
  */
 public record Outcome(
     String requestId,
@@ -15,7 +15,7 @@
     double elapsedMs,
     boolean requestEnded,
     List<Double> report,
-    double ownMs) {
+    double gatewayDelayMs) {
   /** The ways in which an attempt or a probe can end. */
   public enum Result {
     OK(false),
--- a/src/main/java/ternscale/api/RequestInfo.java
+++ b/src/main/java/ternscale/api/RequestInfo.java
@@ -5,7 +5,8 @@
 /**
  * A client request. {@code deadline} is the clock time at which the client gives this try up;
  * {@code costHint} is expected work in milliseconds on a standard core, 0 when there is none;
- * {@code key} may be null; {@code waitedMs} is for how long it lay unread, which its time includes.
+ * {@code key} may be null; {@code readDelayMs} is how long it waited to be read,
+ * which counts towards its latency.
  */
 public record RequestInfo(
     String id,
@@ -14,9 +15,9 @@
     double deadline,
     double costHint,
     String key,
-    boolean write,
-    boolean clientRetry,
-    double waitedMs) {
+    boolean isWrite,
+    boolean isClientRetry,
+    double readDelayMs) {
   /** One that was read as soon as it came. */
   public RequestInfo(
       String id,
@@ -25,9 +26,9 @@
       double deadline,
       double costHint,
       String key,
-      boolean write,
-      boolean clientRetry) {
-    this(id, requestClass, tenant, deadline, costHint, key, write, clientRetry, 0);
+      boolean isWrite,
+      boolean isClientRetry) {
+    this(id, requestClass, tenant, deadline, costHint, key, isWrite, isClientRetry, 0);
   }
 
   public RequestInfo {
--- a/src/main/java/ternscale/api/Settings.java
+++ b/src/main/java/ternscale/api/Settings.java
@@ -5,22 +5,22 @@
 
 /** What a gateway is told when it starts. All times are in milliseconds. */
 public record Settings(
-    int me,
-    int instances,
+    int instanceIndex,
+    int instanceCount,
     int zone,
-    int zones,
+    int zoneCount,
     double tickMs,
     List<RequestClass> classes,
     List<Tenant> tenants,
-    double overShareWorth,
-    boolean worthByWork,
+    double overQuotaValueFactor,
+    boolean valueByWork,
     Discovery discovery,
-    boolean hostsRememberKeys,
+    boolean hostsCacheByKey,
     boolean clientsMarkRetries,
     Limits limits,
     Rules rules,
-    Prices prices,
-    Goal goal,
+    Costs costs,
+    Objective objective,
     ReportMode reportMode,
     List<ReportField> reportFields,
     WeightMeaning weightMeaning) {
@@ -33,7 +33,7 @@
   }
 
   /** The hosts that together drop a repeat. */
-  public enum Group {
+  public enum DedupScope {
     ALL,
     ZONE,
     CELL
@@ -47,7 +47,7 @@
 
   /** Where load reports come from. */
   public enum ReportMode {
-    WITH_ANSWERS,
+    WITH_RESPONSES,
     WITH_PROBES,
     NONE
   }
@@ -73,22 +73,22 @@
 
   /** A class of requests. */
   public record RequestClass(
-      double aimMs,
-      double aimStretch,
+      double targetLatencyMs,
+      double targetLatencyPerCostMs,
       double deadlineMs,
-      double worth,
-      double lateWorth,
+      double value,
+      double lateValueFactor,
       Effect effect,
-      Group group,
-      double windowMs,
-      boolean stream) {
+      DedupScope dedupScope,
+      double dedupWindowMs,
+      boolean isStream) {
     public RequestClass {
       Objects.requireNonNull(effect, "effect");
-      Objects.requireNonNull(group, "group");
-      require(aimMs > 0, "aim must be above 0", aimMs);
+      Objects.requireNonNull(dedupScope, "group");
+      require(targetLatencyMs > 0, "aim must be above 0", targetLatencyMs);
       require(deadlineMs > 0, "deadline must be above 0", deadlineMs);
-      require(worth >= 0, "worth must not be negative", worth);
-      require(windowMs >= 0, "window must not be negative", windowMs);
+      require(value >= 0, "worth must not be negative", value);
+      require(dedupWindowMs >= 0, "window must not be negative", dedupWindowMs);
     }
   }
 
@@ -103,11 +103,11 @@
   /** What the deployment permits. */
   public record Limits(
       int maxAttempts,
-      boolean secondCopies,
+      boolean mayHedge,
       boolean mayProbe,
       boolean mayCancel,
-      boolean peers,
-      boolean retryAfter,
+      boolean peerMessages,
+      boolean sendsRetryAfter,
       double maxRetryAfterMs,
       double connectTimeoutMs,
       double idleConnectionMs,
@@ -119,33 +119,40 @@
 
   /** The figures of the rules every gateway keeps. */
   public record Rules(
-      double coldFrom,
-      double coldMs,
-      double fallMultiple,
-      double fallMs,
+      double initialCapacityShare,
+      double slowStartMs,
+      double overloadMultiple,
+      double overloadMs,
       double drainGraceMs,
-      double answerGraceMs,
-      double mustAskInMs) {
+      double responseGraceMs,
+      double maxPollIntervalMs) {
     public Rules {
-      require(coldFrom > 0 && coldFrom <= 1, "cold share must lie in (0, 1]", coldFrom);
-      require(coldMs >= 0, "cold time must not be negative", coldMs);
-      require(fallMultiple > 0, "fall multiple must be above 0", fallMultiple);
-      require(fallMs >= 0, "fall time must not be negative", fallMs);
+      require(
+          initialCapacityShare > 0 && initialCapacityShare <= 1,
+          "cold share must lie in (0, 1]",
+          initialCapacityShare);
+      require(slowStartMs >= 0, "cold time must not be negative", slowStartMs);
+      require(overloadMultiple > 0, "fall multiple must be above 0", overloadMultiple);
+      require(overloadMs >= 0, "fall time must not be negative", overloadMs);
     }
   }
 
   /** What side effects cost, in points of the result per unit. */
-  public record Prices(
-      double crossZone, double probe, double waste, double lateFail, double handshake) {}
+  public record Costs(
+      double crossZone, double probe, double wastedWork, double lateFailure, double handshake) {}
 
   /** How the result is mixed. */
-  public record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
+  public record Objective(
+      double overall, double worstWindow, double worstClass, double worstTenant) {}
 
   public Settings {
-    require(instances >= 1, "instances must be 1 or more", instances);
-    require(me >= 0 && me < instances, "own number must lie below " + instances, me);
-    require(zones >= 1, "zones must be 1 or more", zones);
-    require(zone >= 0 && zone < zones, "own zone must lie below " + zones, zone);
+    require(instanceCount >= 1, "instances must be 1 or more", instanceCount);
+    require(
+        instanceIndex >= 0 && instanceIndex < instanceCount,
+        "own number must lie below " + instanceCount,
+        instanceIndex);
+    require(zoneCount >= 1, "zones must be 1 or more", zoneCount);
+    require(zone >= 0 && zone < zoneCount, "own zone must lie below " + zoneCount, zone);
     require(tickMs >= 0, "tick must not be negative", tickMs);
     classes = List.copyOf(classes);
     tenants = List.copyOf(tenants);
@@ -154,8 +161,8 @@
     Objects.requireNonNull(discovery, "discovery");
     Objects.requireNonNull(limits, "limits");
     Objects.requireNonNull(rules, "rules");
-    Objects.requireNonNull(prices, "prices");
-    Objects.requireNonNull(goal, "goal");
+    Objects.requireNonNull(costs, "prices");
+    Objects.requireNonNull(objective, "goal");
     Objects.requireNonNull(reportMode, "reportMode");
     Objects.requireNonNull(weightMeaning, "weightMeaning");
   }
@@ -163,22 +170,22 @@
   /** These settings with other classes and limits. */
   public Settings with(List<RequestClass> otherClasses, Limits otherLimits) {
     return new Settings(
-        me,
-        instances,
+        instanceIndex,
+        instanceCount,
         zone,
-        zones,
+        zoneCount,
         tickMs,
         otherClasses,
         tenants,
-        overShareWorth,
-        worthByWork,
+        overQuotaValueFactor,
+        valueByWork,
         discovery,
-        hostsRememberKeys,
+        hostsCacheByKey,
         clientsMarkRetries,
         otherLimits,
         rules,
-        prices,
-        goal,
+        costs,
+        objective,
         reportMode,
         reportFields,
         weightMeaning);
--- a/src/main/java/ternscale/policy/Admission.java
+++ b/src/main/java/ternscale/policy/Admission.java
@@ -124,8 +124,8 @@
         IntStream.range(0, asked.length)
             .reduce(0, (w, c) -> served[c] * asked[w] < served[w] * asked[c] ? c : w);
     double share = asked[worst] / Math.max(1e-9, Arrays.stream(asked).sum());
-    Settings.Goal goal = settings.goal();
-    double general = Math.max(1e-9, goal.whole() + goal.worstWindow());
+    Settings.Objective goal = settings.objective();
+    double general = Math.max(1e-9, goal.overall() + goal.worstWindow());
     double factor = share > 0 ? 1 + goal.worstClass() / general / share : 1;
     byDensity =
         IntStream.range(0, work.length)
@@ -138,9 +138,9 @@
 
   private double density(int bucket) {
     RequestClass c = settings.classes().get(bucket / BUCKETS);
-    return c.worth()
-        * ((bucket & OVER_SHARE) != 0 ? settings.overShareWorth() : 1)
-        * ((bucket & TOO_HEAVY) != 0 ? c.lateWorth() : 1);
+    return c.value()
+        * ((bucket & OVER_SHARE) != 0 ? settings.overQuotaValueFactor() : 1)
+        * ((bucket & TOO_HEAVY) != 0 ? c.lateValueFactor() : 1);
   }
 
   /** Whether to take a request on; false means refuse it now. */
@@ -151,10 +151,10 @@
     if (r.costHint() > TOO_HEAVY_FACTOR * p.aimMs()) {
       bucket |= TOO_HEAVY;
     }
-    if (density(bucket) <= 0 && r.costHint() > HOPELESS_FACTOR * p.type.aimMs()) {
+    if (density(bucket) <= 0 && r.costHint() > HOPELESS_FACTOR * p.type.targetLatencyMs()) {
       return false;
     }
-    repeats += ((r.clientRetry() ? 1 : 0) - repeats) * 0.02;
+    repeats += ((r.isClientRetry() ? 1 : 0) - repeats) * 0.02;
     work[bucket] += p.work();
     asked[r.requestClass()] += p.worth();
     if (now - orderedAt > ORDER_MS) {
@@ -184,7 +184,7 @@
     tenantCount[tenant]++;
     double quota = settings.tenants().get(tenant).quotaRps();
     double seen = MIX_MEMORY_MS * (1 - Math.exp((startedAt - now - 1) / MIX_MEMORY_MS));
-    double rate = 1000 * tenantCount[tenant] / Math.max(seen, 1000) * settings.instances();
+    double rate = 1000 * tenantCount[tenant] / Math.max(seen, 1000) * settings.instanceCount();
     return quota > 0 && rate > quota && random.nextDouble() > quota / rate;
   }
 
@@ -198,11 +198,11 @@
 
   void onOutcome(Pending p, Result result, double elapsedMs, double now) {
     RequestClass c = p.type;
-    double late = NEARLY_LATE * c.aimMs();
+    double late = NEARLY_LATE * c.targetLatencyMs();
     if (result == Result.OK) {
       served[p.info.requestClass()] += now <= p.aimAt() ? p.worth() : 0;
       double usual = USUAL_FACTOR * usual(p.info.requestClass(), elapsedMs, now);
-      late = Math.min(late, Math.max(LEAST_LATE * c.aimMs(), usual));
+      late = Math.min(late, Math.max(LEAST_LATE * c.targetLatencyMs(), usual));
       // What is heavy takes long on an idle host too: of queues only the rest speaks.
       late += Math.max(0, p.info.costHint() - usual / USUAL_FACTOR);
     }
--- a/src/main/java/ternscale/policy/ColdStart.java
+++ b/src/main/java/ternscale/policy/ColdStart.java
@@ -49,7 +49,7 @@
   }
 
   boolean isCold(Host h, double now) {
-    return h.startedAt > 0 && now - h.startedAt < rules.coldMs();
+    return h.startedAt > 0 && now - h.startedAt < rules.slowStartMs();
   }
 
   /**
@@ -58,14 +58,14 @@
    * was not over before it was told, however long ago it is said to be.
    */
   double believedStart(double listed, boolean isChange, double now) {
-    boolean past = listed > 0 && now - listed >= rules.coldMs();
+    boolean past = listed > 0 && now - listed >= rules.slowStartMs();
     return listed > now || (isChange && past) ? now : listed;
   }
 
   /** The share of its capacity the host has for sure: grown evenly from its stated start. */
   private double warmth(Host h, double now) {
-    double grown = Math.max(0, now - h.startedAt) / rules.coldMs();
-    return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * grown);
+    double grown = Math.max(0, now - h.startedAt) / rules.slowStartMs();
+    return Math.min(1, rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * grown);
   }
 
   /** Starts a budget at random: full credit at all gateways would push the host over at once. */
@@ -79,7 +79,7 @@
     if (!isCold(h, now)) {
       return true;
     }
-    double rate = PART_OF_MULTIPLE * rules.fallMultiple() * warmth(h, now) * bornePerHost(now);
+    double rate = PART_OF_MULTIPLE * rules.overloadMultiple() * warmth(h, now) * bornePerHost(now);
     h.coldLevel = Math.min(BURST * meanWork(), h.coldLevel + rate * (now - h.coldLevelAt));
     h.coldLevelAt = now;
     return h.coldLevel >= 0;
@@ -119,7 +119,7 @@
   void census(List<Host> up, double now) {
     listed = up.size();
     warm = (int) up.stream().filter(h -> !isCold(h, now)).count();
-    coldUntil = up.stream().mapToDouble(h -> h.startedAt).max().orElse(0) + rules.coldMs() + 1;
+    coldUntil = up.stream().mapToDouble(h -> h.startedAt).max().orElse(0) + rules.slowStartMs() + 1;
     bornePerHost(now);
   }
 
--- a/src/main/java/ternscale/policy/Host.java
+++ b/src/main/java/ternscale/policy/Host.java
@@ -17,7 +17,7 @@
   /** The same as it is listed, by the clock of whoever wrote the list. */
   private double listedStart;
 
-  Availability availability = Availability.GONE;
+  Availability availability = Availability.REMOVED;
 
   /** Own requests in flight: the count that LC* compares. */
   int inFlight;
@@ -73,10 +73,10 @@
 
   /** Takes over the listed facts; a new start time means a new process that we know nothing of. */
   boolean apply(HostEntry e) {
-    boolean restarted = e.startedAt() != listedStart && e.availability() != Availability.GONE;
+    boolean restarted = e.startedAt() != listedStart && e.availability() != Availability.REMOVED;
     zone = e.zone();
     cell = e.cell();
-    kind = e.kind();
+    kind = e.hardwareType();
     weight = e.weight() > 0 ? e.weight() : 1;
     availability = e.availability();
     listedStart = e.startedAt();
--- a/src/main/java/ternscale/policy/HostTable.java
+++ b/src/main/java/ternscale/policy/HostTable.java
@@ -84,7 +84,7 @@
 
   HostTable(Settings settings, ColdStart coldStart) {
     this.coldStart = coldStart;
-    zoneSlow = new double[settings.zones()];
+    zoneSlow = new double[settings.zoneCount()];
     ownZone = settings.zone();
     reload(settings);
   }
@@ -92,12 +92,12 @@
   void reload(Settings next) {
     classLatency = Arrays.copyOf(classLatency, next.classes().size());
     classWork = Arrays.copyOf(classWork, next.classes().size());
-    double part = next.prices().handshake() > 0 ? PRICED_LINGER_PART : 0;
+    double part = next.costs().handshake() > 0 ? PRICED_LINGER_PART : 0;
     lingerMs = Math.max(LINGER_MS, part * next.limits().idleConnectionMs());
   }
 
   void apply(MembersUpdate update, double now) {
-    if (!update.kind().isNews()) {
+    if (!update.kind().hasEntries()) {
       return;
     }
     Set<String> named = new HashSet<>();
@@ -108,21 +108,21 @@
         h.startedAt = coldStart.believedStart(e.startedAt(), listHeard, now);
         coldStart.begin(h, now);
       }
-      kindSlow = Arrays.copyOf(kindSlow, Math.max(kindSlow.length, e.kind() + 1));
+      kindSlow = Arrays.copyOf(kindSlow, Math.max(kindSlow.length, e.hardwareType() + 1));
       kindCount = Arrays.copyOf(kindCount, kindSlow.length);
     }
     listHeard |= update.kind() != MembersUpdate.Kind.CACHED;
     ring.clear();
     for (Host h : byId.values()) {
       if (update.kind() != MembersUpdate.Kind.DELTA && !named.contains(h.id)) {
-        h.availability = Availability.GONE;
+        h.availability = Availability.REMOVED;
       }
       if (h.availability == Availability.UP) {
         ring.add(h);
       }
     }
     // Hosts come under ever new ids; one that has gone stays only for what is still out on it.
-    byId.values().removeIf(h -> h.availability == Availability.GONE && h.inFlight == 0);
+    byId.values().removeIf(h -> h.availability == Availability.REMOVED && h.inFlight == 0);
     all = byId.values().toArray(Host[]::new);
     ring.sort(Comparator.comparingLong((Host h) -> h.hash).thenComparing(h -> h.id));
   }
@@ -130,7 +130,7 @@
   /** Whether a host seems to hang: known before its first time-out, over with any answer. */
   boolean isQuiet(Host h, Pending p, double now) {
     double since = Math.max(h.heardAt, h.busySince);
-    return h.inFlight > h.longs && now - since > QUIET_PART * p.type.aimMs();
+    return h.inFlight > h.longs && now - since > QUIET_PART * p.type.targetLatencyMs();
   }
 
   /** Learns from one attempt that ended. */
@@ -152,7 +152,7 @@
         eject(h, FULL_SHARE, now);
       }
     } else {
-      double silentMs = Math.max(elapsedMs, QUIET_PART * p.type.aimMs());
+      double silentMs = Math.max(elapsedMs, QUIET_PART * p.type.targetLatencyMs());
       boolean zone = ring.stream().anyMatch(o -> o.zone == h.zone && now - o.heardAt < silentMs);
       boolean any = ring.stream().anyMatch(o -> now - o.heardAt < EJECT_MS);
       double share = any && !zone ? SILENT_SHARE : EJECT_SHARE;
@@ -160,7 +160,7 @@
       if (result == Result.TIMEOUT
           && h.heardAt <= a.sentAt()
           && !a.isLong()
-          && elapsedMs >= p.type.aimMs()) {
+          && elapsedMs >= p.type.targetLatencyMs()) {
         // Not a word all that time, to nobody: it hangs, and an empty count would draw in more.
         h.ejections = 0;
         eject(h, share, now);
--- a/src/main/java/ternscale/policy/LcStarBalancer.java
+++ b/src/main/java/ternscale/policy/LcStarBalancer.java
@@ -101,7 +101,7 @@
   }
 
   @Override
-  public void onClientGone(double now, String requestId) {
+  public void onClientDisconnected(double now, String requestId) {
     checkOpen();
     Pending p = requests.get(requestId);
     if (p != null && !p.ended) {
@@ -122,10 +122,10 @@
     h.inFlight--;
     h.connectedAt = now;
     h.longs -= a.isLong() ? 1 : 0;
-    double elapsedMs = outcome.elapsedMs() - outcome.ownMs();
+    double elapsedMs = outcome.elapsedMs() - outcome.gatewayDelayMs();
     hosts.learn(h, p, a, outcome.result(), elapsedMs, now);
     // Where most of the time was lost in this process, it says nothing of the hosts.
-    boolean ofHosts = h.ejectedUntil <= now && elapsedMs >= outcome.ownMs();
+    boolean ofHosts = h.ejectedUntil <= now && elapsedMs >= outcome.gatewayDelayMs();
     boolean ofLoad = ofHosts && h.rejections <= HostTable.EJECT_REJECTIONS;
     if (!p.ended && !p.isLong && ofLoad) {
       admission.onOutcome(p, outcome.result(), elapsedMs, now);
@@ -156,7 +156,7 @@
   }
 
   @Override
-  public void onAnswerStarted(double now, String requestId, int attempt, String host) {
+  public void onResponseStarted(double now, String requestId, int attempt, String host) {
     checkOpen();
     Pending p = requests.get(requestId);
     if (p != null && !p.ended) {
@@ -207,7 +207,7 @@
     if (h == null) {
       h = selector.pick(p.info.key(), p.isLong, now, ready);
     }
-    if (h == null && p.isLong && now - p.arrivedAt > LONG_WAIT * p.type.aimMs()) {
+    if (h == null && p.isLong && now - p.arrivedAt > LONG_WAIT * p.type.targetLatencyMs()) {
       h = selector.pick(p.info.key(), false, now, ready);
     }
     if (h != null) {
@@ -225,9 +225,9 @@
   /** Past this nothing is worth starting; what waited to be read waits as long to be answered. */
   private double giveUpAt(Pending p) {
     double last = p.info.deadline() - 2 * settings.tickMs();
-    return p.type.lateWorth() > 0
+    return p.type.lateValueFactor() > 0
         ? last
-        : Math.min(last, p.aimAt() - settings.tickMs() - p.info.waitedMs());
+        : Math.min(last, p.aimAt() - settings.tickMs() - p.info.readDelayMs());
   }
 
   /** The four rules, for one request and one host. */
@@ -244,7 +244,7 @@
   private void send(Pending p, Host h, double now) {
     if (p.ended
         || p.attempts >= settings.limits().maxAttempts()
-        || (!p.out.isEmpty() && !settings.limits().secondCopies())
+        || (!p.out.isEmpty() && !settings.limits().mayHedge())
         || !maySend(p, h, now)) {
       throw new IllegalStateException("a rule forbids sending " + p.info.id() + " to " + h.id);
     }
@@ -262,7 +262,7 @@
   private void end(Pending p, double now) {
     close(p);
     if (p.mayRefuse()) {
-      actions.refuse(p.info.id(), admission.retryAfterMs());
+      actions.reject(p.info.id(), admission.retryAfterMs());
     } else {
       actions.fail(p.info.id());
     }
--- a/src/main/java/ternscale/policy/Membership.java
+++ b/src/main/java/ternscale/policy/Membership.java
@@ -39,8 +39,8 @@
 
   void start() {
     if (settings.discovery() == Discovery.ON_REQUEST) {
-      double slot = (settings.me() + random.nextDouble()) / settings.instances();
-      callIn(slot * SPREAD * settings.rules().mustAskInMs());
+      double slot = (settings.instanceIndex() + random.nextDouble()) / settings.instanceCount();
+      callIn(slot * SPREAD * settings.rules().maxPollIntervalMs());
     }
   }
 
@@ -52,14 +52,15 @@
   }
 
   void onUpdate(MembersUpdate update) {
-    boolean silent = update.kind() == MembersUpdate.Kind.SILENT;
-    if (update.kind().isNews()) {
+    boolean silent = update.kind() == MembersUpdate.Kind.UNRESPONSIVE;
+    if (update.kind().hasEntries()) {
       failures = 0;
     } else if (settings.discovery() == Discovery.ON_REQUEST) {
       // A failure names no call: whether ours failed or the watch broke, ask again later; also
       // where a first call is still to come, which may be minutes off.
       failures = silent ? failures : Math.min(failures + 1, 4);
-      double most = BACK_OFF * settings.rules().mustAskInMs() * (1 << Math.max(0, failures - 1));
+      double most =
+          BACK_OFF * settings.rules().maxPollIntervalMs() * (1 << Math.max(0, failures - 1));
       most = Math.min(most, silent ? UNHEARD_MS : MOST_BACK_OFF_MS);
       callIn(most * (1 + 2 * random.nextDouble()) / 3);
     }
--- a/src/main/java/ternscale/policy/Pending.java
+++ b/src/main/java/ternscale/policy/Pending.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import ternscale.api.RequestInfo;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 import ternscale.api.Settings.RequestClass;
 
 /** A request this gateway still owes an answer, or whose attempts are still out. */
@@ -28,7 +28,7 @@
   Pending(RequestInfo info, RequestClass type, double readAt, boolean isLong) {
     this.info = info;
     this.type = type;
-    this.arrivedAt = readAt - info.waitedMs();
+    this.arrivedAt = readAt - info.readDelayMs();
     this.isLong = isLong;
   }
 
@@ -38,12 +38,12 @@
   }
 
   double worth() {
-    return type.worth() * work();
+    return type.value() * work();
   }
 
   /** The time an answer may take to be worth its full worth. */
   double aimMs() {
-    return type.aimMs() + type.aimStretch() * info.costHint();
+    return type.targetLatencyMs() + type.targetLatencyPerCostMs() * info.costHint();
   }
 
   double aimAt() {
@@ -70,18 +70,18 @@
   }
 
   private boolean sameGroup(Attempt first, Host h, double now, double marginMs) {
-    if (now - first.sentAt > type.windowMs() - marginMs) {
+    if (now - first.sentAt > type.dedupWindowMs() - marginMs) {
       return false;
     }
-    return type.group() == Group.ALL
-        || (type.group() == Group.ZONE && first.host.zone == h.zone)
-        || (type.group() == Group.CELL && first.host.cell == h.cell);
+    return type.dedupScope() == DedupScope.ALL
+        || (type.dedupScope() == DedupScope.ZONE && first.host.zone == h.zone)
+        || (type.dedupScope() == DedupScope.CELL && first.host.cell == h.cell);
   }
 
   /** Rule 2: a refusal promises that a new try is harmless. */
   boolean mayRefuse() {
     return type.effect() == Effect.REPEATABLE
         || !anyMayHaveRun()
-        || (type.effect() == Effect.BY_KEY && type.group() == Group.ALL);
+        || (type.effect() == Effect.BY_KEY && type.dedupScope() == DedupScope.ALL);
   }
 }
--- a/src/main/java/ternscale/policy/Selector.java
+++ b/src/main/java/ternscale/policy/Selector.java
@@ -76,14 +76,14 @@
     this.hosts = hosts;
     this.settings = settings;
     this.random = random;
-    double priced = CROSSING_PER_POINT * (settings.prices().crossZone() - CHEAP);
-    mostCrossing = settings.hostsRememberKeys() ? 0 : Math.min(MOST_CROSSING, Math.max(0, priced));
+    double priced = CROSSING_PER_POINT * (settings.costs().crossZone() - CHEAP);
+    mostCrossing = settings.hostsCacheByKey() ? 0 : Math.min(MOST_CROSSING, Math.max(0, priced));
   }
 
   /** Notes a request, its key and how many are in flight. */
   void onRequest(String key, int inFlight) {
     meanInFlight += (inFlight - meanInFlight) * 0.01;
-    if (key != null && settings.hostsRememberKeys()) {
+    if (key != null && settings.hostsCacheByKey()) {
       keysNow.merge(key, 1, Integer::sum);
       if (++counted == KEY_WINDOW) {
         keysBefore = keysNow;
@@ -101,7 +101,7 @@
     if (now - refreshedAt >= REFRESH_MS) {
       refresh(now);
     }
-    keptSince = settings.prices().handshake() > 0 ? now - hosts.lingerMs : now;
+    keptSince = settings.costs().handshake() > 0 ? now - hosts.lingerMs : now;
     Host[] all = hosts.all;
     if (tied.length < all.length) {
       tied = new Host[all.length];
@@ -109,7 +109,7 @@
     }
     double u = crossing > 0 ? random.nextDouble() : 0;
     int far = u < EXPLORE ? 0 : (int) (crossing + u);
-    boolean byKey = key != null && settings.hostsRememberKeys();
+    boolean byKey = key != null && settings.hostsCacheByKey();
     if (2 * subset.length < all.length && now >= hosts.coldStart.coldUntil) {
       Host h = byKey ? drawByKey(key, all, all.length, 0, ready) : null;
       int n = byKey ? 0 : scan(subset, far, isLong, ready);
@@ -149,7 +149,7 @@
       h.inSubset = size >= ring.size();
     }
     for (int i = 0; i < size && size < ring.size(); i++) {
-      double turn = settings.me() * GOLDEN + (double) i / size;
+      double turn = settings.instanceIndex() * GOLDEN + (double) i / size;
       ring.get((int) ((turn - Math.floor(turn)) * ring.size())).inSubset = true;
     }
     subset = Arrays.stream(hosts.all).filter(h -> h.inSubset).toArray(Host[]::new);
--- a/src/test/java/hazelspoke/core/ClassBookTest.java
+++ b/src/test/java/hazelspoke/core/ClassBookTest.java
@@ -11,14 +11,14 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 import ternscale.api.Settings.RequestClass;
 
 /** Classes keep their places, whatever settings come. */
 class ClassBookTest {
   private static RequestClass type(Effect effect, double deadlineMs) {
-    return new RequestClass(1, 0, deadlineMs, 1, 0, effect, Group.ALL, 0, false);
+    return new RequestClass(1, 0, deadlineMs, 1, 0, effect, DedupScope.ALL, 0, false);
   }
 
   /** Names of the days' classes, as bits of a number; their effect as another's. */
--- a/src/test/java/hazelspoke/core/CoreRig.java
+++ b/src/test/java/hazelspoke/core/CoreRig.java
@@ -15,8 +15,8 @@
 import ternscale.api.HostEntry;
 import ternscale.api.Outcome.Result;
 import ternscale.api.Settings;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 import ternscale.api.Settings.RequestClass;
 
 /** A dispatcher between a front and a back that speak no protocol, in time that is made here. */
@@ -129,7 +129,8 @@
         1,
         1,
         List.of(
-            new RequestClass(500, 0, DEADLINE_MS, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false)),
+            new RequestClass(
+                500, 0, DEADLINE_MS, 1, 0, Effect.REPEATABLE, DedupScope.ALL, 0, false)),
         List.of(),
         1,
         false,
@@ -138,8 +139,8 @@
         false,
         new Settings.Limits(4, true, true, true, false, true, 1_000, 100, 10_000, 1),
         new Settings.Rules(0.2, 10_000, 3, 3_000, 1_000, 20, 10_000),
-        new Settings.Prices(0, 0, 0, 0, 0),
-        new Settings.Goal(1, 0, 0, 0),
+        new Settings.Costs(0, 0, 0, 0, 0),
+        new Settings.Objective(1, 0, 0, 0),
         Settings.ReportMode.NONE,
         List.of(),
         Settings.WeightMeaning.NONE);
--- a/src/test/java/hazelspoke/core/CoreTest.java
+++ b/src/test/java/hazelspoke/core/CoreTest.java
@@ -48,7 +48,7 @@
         String id = back == 0 ? "none" : ids.get(ids.size() - 1 - random.nextInt(back));
         switch (random.nextInt(11)) {
           case 0, 1, 2, 3 -> actions.send(id, "h", random.nextBoolean() ? 0 : 40);
-          case 4 -> actions.refuse(id, 5);
+          case 4 -> actions.reject(id, 5);
           case 5 -> actions.fail(id);
           case 6 -> actions.cancel(id, random.nextInt(3));
           case 7 -> actions.probe("h");
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void onClientGone(double now, String requestId) {
+    public void onClientDisconnected(double now, String requestId) {
       act();
     }
 
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void onAnswerStarted(double now, String requestId, int attempt, String host) {}
+    public void onResponseStarted(double now, String requestId, int attempt, String host) {}
 
     @Override
     public void onTimer(double now, long timer) {
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void onClientGone(double now, String requestId) {}
+    public void onClientDisconnected(double now, String requestId) {}
 
     @Override
     public void onOutcome(double now, Outcome outcome) {
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void onAnswerStarted(double now, String requestId, int attempt, String host) {}
+    public void onResponseStarted(double now, String requestId, int attempt, String host) {}
 
     @Override
     public void onTimer(double now, long timer) {}
--- a/src/test/java/ternscale/adapter/WireTest.java
+++ b/src/test/java/ternscale/adapter/WireTest.java
@@ -197,7 +197,7 @@
                           3,
                           0.5,
                           Settings.Effect.BY_KEY,
-                          Settings.Group.CELL,
+                          Settings.DedupScope.CELL,
                           800,
                           true)),
                   List.of(new Settings.Tenant(0.75, 40)),
@@ -208,8 +208,8 @@
                   true,
                   new Settings.Limits(5, true, true, true, true, true, 900, 70, 8000, 6),
                   new Settings.Rules(0.3, 7000, 2.5, 1500, 600, 15, 9000),
-                  new Settings.Prices(0.01, 0.02, 0.03, 0.04, 0.05),
-                  new Settings.Goal(0.4, 0.3, 0.2, 0.1),
+                  new Settings.Costs(0.01, 0.02, 0.03, 0.04, 0.05),
+                  new Settings.Objective(0.4, 0.3, 0.2, 0.1),
                   Settings.ReportMode.WITH_PROBES,
                   List.of(Settings.ReportField.values()),
                   Settings.WeightMeaning.LIVE));
@@ -222,8 +222,8 @@
     WireWriter writer = new WireWriter(out);
     Actions a = writer.forInstance(7);
     a.send("q", "a:1", 80);
-    a.refuse("q", 50);
-    a.refuse("q", 0);
+    a.reject("q", 50);
+    a.reject("q", 0);
     a.fail("q");
     a.cancel("q", 2);
     a.probe("a:1");
@@ -232,8 +232,8 @@
     a.poll();
     a.watch(true);
     a.watch(false);
-    a.tellPeer(4, "hi");
-    a.tellPeer(-1, "hi");
+    a.sendToPeer(4, "hi");
+    a.sendToPeer(-1, "hi");
     a.log("two \"words\"");
     writer.finish(3);
     assertThat(out.toString(StandardCharsets.UTF_8).replace("\"who\":7", "W").lines())
--- a/src/test/java/ternscale/policy/ChoicesTest.java
+++ b/src/test/java/ternscale/policy/ChoicesTest.java
@@ -18,9 +18,9 @@
 import ternscale.api.Outcome.Result;
 import ternscale.api.RequestInfo;
 import ternscale.api.Settings;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Discovery;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 import ternscale.api.Settings.RequestClass;
 
 /**
@@ -32,9 +32,9 @@
 class ChoicesTest {
   private static final int STEPS = 8_000;
   private static final RequestClass[] CLASSES = {
-    Gateway.type(Effect.BY_KEY, Group.ZONE),
-    Gateway.type(Effect.ONCE, Group.ALL),
-    Gateway.type(Effect.REPEATABLE, Group.ALL)
+    Gateway.type(Effect.BY_KEY, DedupScope.ZONE),
+    Gateway.type(Effect.ONCE, DedupScope.ALL),
+    Gateway.type(Effect.REPEATABLE, DedupScope.ALL)
   };
 
   private enum Site {
@@ -122,7 +122,7 @@
       } else if (what < 0.015 && requests > 0) {
         String id = "r" + (requests - 1 - random.nextInt(Math.min(requests, 20)));
         ended.add(id);
-        gateway.balancer.onClientGone(gateway.now, id);
+        gateway.balancer.onClientDisconnected(gateway.now, id);
       } else if (timer) {
         timer = false;
         gateway.balancer.onTimer(gateway.now, 2);
@@ -186,7 +186,9 @@
               : Availability.UP;
       double startedAt = cold && next == Availability.UP ? gateway.now - 500 : h.startedAt();
       hosts.set(
-          i, new HostEntry(h.host(), h.weight(), h.kind(), h.zone(), h.cell(), next, startedAt));
+          i,
+          new HostEntry(
+              h.host(), h.weight(), h.hardwareType(), h.zone(), h.cell(), next, startedAt));
       if (random.nextInt(4) == 0) {
         gateway.members(Kind.FULL, hosts.toArray(HostEntry[]::new));
       } else {
--- a/src/test/java/ternscale/policy/ChurnTest.java
+++ b/src/test/java/ternscale/policy/ChurnTest.java
@@ -10,14 +10,14 @@
 import ternscale.api.MembersUpdate.Kind;
 import ternscale.api.Outcome.Result;
 import ternscale.api.Settings;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Discovery;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 
 /** Hosts under ever new ids. */
 class ChurnTest {
   private static final Settings SETTINGS =
-      Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.BY_KEY, Group.ALL));
+      Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.BY_KEY, DedupScope.ALL));
 
   @Test
   void hostsThatHaveGoneAreForgotten() {
@@ -29,7 +29,7 @@
               i % 2 == 0 ? Kind.FULL : Kind.DELTA,
               i,
               List.of(
-                  Gateway.host("h" + (i - 1), 0, Availability.GONE, 0),
+                  Gateway.host("h" + (i - 1), 0, Availability.REMOVED, 0),
                   Gateway.host("h" + i, 0, Availability.UP, i))),
           i);
     }
--- a/src/test/java/ternscale/policy/DeparturesTest.java
+++ b/src/test/java/ternscale/policy/DeparturesTest.java
@@ -15,14 +15,14 @@
 import ternscale.api.Outcome.Result;
 import ternscale.api.RequestInfo;
 import ternscale.api.Settings;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Discovery;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 
 /** Each departure from LC*, and the failure it guards against, on the module alone. */
 class DeparturesTest {
   private static final Settings REPEATABLE =
-      Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, Group.ALL));
+      Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
 
   /** Serves requests one at a time for a while and counts them by host. */
   private static TreeMap<String, Integer> serve(Gateway g, int n, double gapMs) {
@@ -56,8 +56,8 @@
     serve(g, 400, 20);
     g.members(
         Kind.DELTA,
-        Gateway.host("h0", 0, Availability.GONE, 0),
-        Gateway.host("h1", 1, Availability.GONE, 0),
+        Gateway.host("h0", 0, Availability.REMOVED, 0),
+        Gateway.host("h1", 1, Availability.REMOVED, 0),
         Gateway.host("h2", 0, Availability.UP, g.now),
         Gateway.host("h3", 1, Availability.UP, g.now));
     int before = g.sent.size();
@@ -81,8 +81,8 @@
     Settings both =
         Gateway.settings(
             Discovery.PUSHED,
-            Gateway.type(Effect.REPEATABLE, Group.ALL),
-            Gateway.type(Effect.ONCE, Group.ALL));
+            Gateway.type(Effect.REPEATABLE, DedupScope.ALL),
+            Gateway.type(Effect.ONCE, DedupScope.ALL));
     Gateway g = new Gateway(both, 5);
     g.hosts(3);
     String id = g.request(0, 0);
@@ -135,7 +135,7 @@
 
   private static Settings.RequestClass worth(double worth) {
     return new Settings.RequestClass(
-        500, 0, 2000, worth, 0, Effect.REPEATABLE, Group.ALL, 0, false);
+        500, 0, 2000, worth, 0, Effect.REPEATABLE, DedupScope.ALL, 0, false);
   }
 
   /**
@@ -189,7 +189,8 @@
 
   /** The part of 2,000 requests that crosses, one at a time, when the own zone takes so long. */
   private static double crossed(double price, double ownMs, double otherMs) {
-    Gateway g = new Gateway(Gateway.crossing(price, Gateway.type(Effect.REPEATABLE, Group.ALL)), 7);
+    Gateway g =
+        new Gateway(Gateway.crossing(price, Gateway.type(Effect.REPEATABLE, DedupScope.ALL)), 7);
     g.hosts(8);
     int crossed = 0;
     for (int i = 0; i < 4_000; i++) {
@@ -216,7 +217,7 @@
     Settings.RequestClass cheap = worth(1);
     Settings.RequestClass dear = worth(2);
     int[] plain = jam(new Gateway(Gateway.settings(Discovery.PUSHED, cheap, dear), 5), 1_000, 0.7);
-    Settings goal = Gateway.goal(new Settings.Goal(.5, .2, .3, 0), cheap, dear);
+    Settings goal = Gateway.goal(new Settings.Objective(.5, .2, .3, 0), cheap, dear);
     int[] weighed = jam(new Gateway(goal, 5), 1_000, 0.7);
     assertThat(plain[1]).isLessThan(20);
     assertThat(weighed[0]).isLessThan(plain[0] - 50);
@@ -259,7 +260,7 @@
   @Test
   void gatewaysAgreeOnTheHostOfAKeyAndDoNotHerdWithoutKeys() {
     Settings keyed =
-        Gateway.settings(Discovery.PUSHED, true, Gateway.type(Effect.REPEATABLE, Group.ALL));
+        Gateway.settings(Discovery.PUSHED, true, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
     Set<String> forKey = new HashSet<>();
     Set<String> without = new HashSet<>();
     for (int seed = 0; seed < 20; seed++) {
@@ -279,7 +280,9 @@
   void discoveryIsAskedOnceAndBacksOffWhenItFails() {
     Gateway g =
         new Gateway(
-            Gateway.settings(Discovery.ON_REQUEST, Gateway.type(Effect.REPEATABLE, Group.ALL)), 5);
+            Gateway.settings(
+                Discovery.ON_REQUEST, Gateway.type(Effect.REPEATABLE, DedupScope.ALL)),
+            5);
     g.hosts(2);
     assertThat(g.log).contains("timer 1").doesNotContain("watch true");
     g.balancer.onTimer(g.now, Membership.TIMER);
@@ -313,7 +316,7 @@
       Gateway g = new Gateway(Gateway.mustAskIn(mustAskInMs), seed);
       g.hosts(2);
       for (int again = 0; again < 6; again++) {
-        g.members(Kind.SILENT);
+        g.members(Kind.UNRESPONSIVE);
         assertThat(g.timerMs).isBetween(leastMs, TERM_MS - 2_500 - QUEUE_MS - 500);
         delays.add(g.timerMs);
         g.balancer.onTimer(g.now, Membership.TIMER);
@@ -324,7 +327,7 @@
         delays.add(g.timerMs);
         g.balancer.onTimer(g.now, Membership.TIMER);
       }
-      g.members(Kind.SILENT);
+      g.members(Kind.UNRESPONSIVE);
       assertThat(g.timerMs).isBetween(leastMs, TERM_MS - 2_500 - QUEUE_MS - 500);
     }
     assertThat(delays).hasSizeGreaterThan(500);
@@ -332,7 +335,7 @@
 
   /** The first call of a start is spread over minutes here; another's failure is not kept by it. */
   @ParameterizedTest
-  @ValueSource(strings = {"FAILED", "SILENT"})
+  @ValueSource(strings = {"FAILED", "UNRESPONSIVE"})
   void aFailureWhileTheFirstCallIsStillToComeIsFollowedByACallInTime(Kind kind) {
     Gateway g = new Gateway(Gateway.mustAskIn(1_200_000), 7);
     g.hosts(2);
@@ -400,7 +403,8 @@
   /** Refusals while seven answers in 25 are late, from clients that do or do not repeat. */
   private static long refusedWhileSomeAreLate(boolean repeats) {
     Settings marked =
-        Gateway.settings(Discovery.PUSHED, false, true, Gateway.type(Effect.REPEATABLE, Group.ALL));
+        Gateway.settings(
+            Discovery.PUSHED, false, true, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
     Gateway g = new Gateway(marked, 3);
     g.hosts(4);
     for (int i = 0; i < 1200; i++) {
@@ -479,7 +483,7 @@
     for (int i = 0; i < 20; i++) {
       g.now += 300;
       g.request(0, 10);
-      g.members(Kind.DELTA, Gateway.host("h" + i, i % 2, Availability.GONE, 0));
+      g.members(Kind.DELTA, Gateway.host("h" + i, i % 2, Availability.REMOVED, 0));
     }
     g.now += 1_000;
     g.members(
@@ -544,7 +548,7 @@
     g.hosts(6);
     serve(g, 600, 20);
     for (int i = 1; i < 6; i += 2) {
-      g.members(Kind.DELTA, Gateway.host("h" + i, 1, Availability.GONE, 0));
+      g.members(Kind.DELTA, Gateway.host("h" + i, 1, Availability.REMOVED, 0));
     }
     assertThat(serve(g, 250, 20).keySet()).containsOnly("h0", "h2", "h4");
     for (int i = 1; i < 6; i += 2) {
--- a/src/test/java/ternscale/policy/Gateway.java
+++ b/src/test/java/ternscale/policy/Gateway.java
@@ -9,15 +9,15 @@
 import ternscale.api.Outcome;
 import ternscale.api.RequestInfo;
 import ternscale.api.Settings;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 import ternscale.api.Settings.RequestClass;
 
 /** A gateway for tests: keeps what the balancer asks for as short lines. */
 final class Gateway implements Actions {
   record Sent(String request, String host, int attempt) {}
 
-  private static final Settings.Prices FREE = new Settings.Prices(0, 0, 0, 0, 0);
+  private static final Settings.Costs FREE = new Settings.Costs(0, 0, 0, 0, 0);
 
   final List<String> log = new ArrayList<>();
   final List<Sent> sent = new ArrayList<>();
@@ -34,7 +34,7 @@
     balancer = new LcStarBalancer(settings, seed, now, this);
   }
 
-  static RequestClass type(Effect effect, Group group) {
+  static RequestClass type(Effect effect, DedupScope group) {
     return new RequestClass(500, 0, 2000, 1, 0, effect, group, 1500, false);
   }
 
@@ -53,29 +53,34 @@
       boolean marksRetries,
       RequestClass... classes) {
     return settings(
-        discovery, hostsRememberKeys, marksRetries, new Settings.Goal(1, 0, 0, 0), FREE, classes);
+        discovery,
+        hostsRememberKeys,
+        marksRetries,
+        new Settings.Objective(1, 0, 0, 0),
+        FREE,
+        classes);
   }
 
   /** Discovery is asked, and a gateway with no watch may be without news for so long. */
   static Settings mustAskIn(double ms) {
-    Settings s = settings(Settings.Discovery.ON_REQUEST, type(Effect.REPEATABLE, Group.ALL));
+    Settings s = settings(Settings.Discovery.ON_REQUEST, type(Effect.REPEATABLE, DedupScope.ALL));
     return new Settings(
-        s.me(),
-        s.instances(),
+        s.instanceIndex(),
+        s.instanceCount(),
         s.zone(),
-        s.zones(),
+        s.zoneCount(),
         s.tickMs(),
         s.classes(),
         s.tenants(),
-        s.overShareWorth(),
-        s.worthByWork(),
+        s.overQuotaValueFactor(),
+        s.valueByWork(),
         s.discovery(),
-        s.hostsRememberKeys(),
+        s.hostsCacheByKey(),
         s.clientsMarkRetries(),
         s.limits(),
         new Settings.Rules(0.2, 10_000, 3, 3000, 1000, 20, ms),
-        s.prices(),
-        s.goal(),
+        s.costs(),
+        s.objective(),
         s.reportMode(),
         s.reportFields(),
         s.weightMeaning());
@@ -87,25 +92,25 @@
         me,
         instances,
         s.zone(),
-        s.zones(),
+        s.zoneCount(),
         s.tickMs(),
         s.classes(),
         s.tenants(),
-        s.overShareWorth(),
-        s.worthByWork(),
+        s.overQuotaValueFactor(),
+        s.valueByWork(),
         s.discovery(),
-        s.hostsRememberKeys(),
+        s.hostsCacheByKey(),
         s.clientsMarkRetries(),
         s.limits(),
         s.rules(),
-        s.prices(),
-        s.goal(),
+        s.costs(),
+        s.objective(),
         s.reportMode(),
         s.reportFields(),
         s.weightMeaning());
   }
 
-  static Settings goal(Settings.Goal goal, RequestClass... classes) {
+  static Settings goal(Settings.Objective goal, RequestClass... classes) {
     return settings(Settings.Discovery.PUSHED, false, false, goal, FREE, classes);
   }
 
@@ -114,8 +119,8 @@
         Settings.Discovery.PUSHED,
         false,
         false,
-        new Settings.Goal(1, 0, 0, 0),
-        new Settings.Prices(price, 0, 0, 0, 0),
+        new Settings.Objective(1, 0, 0, 0),
+        new Settings.Costs(price, 0, 0, 0, 0),
         classes);
   }
 
@@ -125,8 +130,8 @@
         Settings.Discovery.PUSHED,
         true,
         false,
-        new Settings.Goal(1, 0, 0, 0),
-        new Settings.Prices(0, 0, 0, 0, price),
+        new Settings.Objective(1, 0, 0, 0),
+        new Settings.Costs(0, 0, 0, 0, price),
         classes);
   }
 
@@ -134,8 +139,8 @@
       Settings.Discovery discovery,
       boolean hostsRememberKeys,
       boolean marksRetries,
-      Settings.Goal goal,
-      Settings.Prices prices,
+      Settings.Objective goal,
+      Settings.Costs prices,
       RequestClass... classes) {
     return new Settings(
         0,
@@ -206,7 +211,7 @@
   }
 
   @Override
-  public void refuse(String requestId, double retryAfterMs) {
+  public void reject(String requestId, double retryAfterMs) {
     log.add("refuse " + requestId);
   }
 
@@ -247,7 +252,7 @@
   }
 
   @Override
-  public void tellPeer(int peer, String data) {
+  public void sendToPeer(int peer, String data) {
     log.add("tell " + peer);
   }
 
--- a/src/test/java/ternscale/policy/HandshakesTest.java
+++ b/src/test/java/ternscale/policy/HandshakesTest.java
@@ -13,8 +13,8 @@
 import ternscale.api.Outcome.Result;
 import ternscale.api.RequestInfo;
 import ternscale.api.Settings;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 
 /**
  * A whole fleet of modules, each with little traffic of its own, before the same hosts: how many
@@ -35,7 +35,7 @@
 
   /** {@code restMs}: how long a connection is kept after it was last used. */
   private static Seen play(double price, double restMs, long seed) {
-    Settings settings = Gateway.handshake(price, Gateway.type(Effect.BY_KEY, Group.ALL));
+    Settings settings = Gateway.handshake(price, Gateway.type(Effect.BY_KEY, DedupScope.ALL));
     List<Gateway> fleet = new ArrayList<>();
     for (int i = 0; i < GATEWAYS; i++) {
       Gateway g = new Gateway(settings, seed * 1_000 + i);
@@ -112,7 +112,8 @@
   }
 
   private static boolean closedAfter(double price, double restMs) {
-    Gateway g = new Gateway(Gateway.handshake(price, Gateway.type(Effect.BY_KEY, Group.ALL)), 1);
+    Gateway g =
+        new Gateway(Gateway.handshake(price, Gateway.type(Effect.BY_KEY, DedupScope.ALL)), 1);
     g.hosts(2);
     g.request(0, 100);
     g.now += 100;
--- a/src/test/java/ternscale/policy/HostClockTest.java
+++ b/src/test/java/ternscale/policy/HostClockTest.java
@@ -10,15 +10,15 @@
 import ternscale.api.HostEntry.Availability;
 import ternscale.api.MembersUpdate;
 import ternscale.api.Settings;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 
 /** The clock of whoever lists the hosts is off by an hour against the gateway's, either way. */
 class HostClockTest {
   private static final double NOW = 100 * 3_600_000.0;
 
   private final Settings settings =
-      Gateway.settings(Settings.Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, Group.ALL));
+      Gateway.settings(Settings.Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
   private final ColdStart coldStart = new ColdStart(settings.rules(), new Random(1), NOW);
   private final HostTable hosts = new HostTable(settings, coldStart);
 
@@ -38,9 +38,9 @@
     tell(MembersUpdate.Kind.DELTA, "new", NOW + offMs, NOW);
     assertThat(coldStart.isCold(host("new"), NOW)).isTrue();
     // Told again, as another list comes, it does not start anew.
-    double later = NOW + settings.rules().coldMs() / 2;
+    double later = NOW + settings.rules().slowStartMs() / 2;
     tell(MembersUpdate.Kind.DELTA, "new", NOW + offMs, later);
-    assertThat(coldStart.isCold(host("new"), NOW + settings.rules().coldMs())).isFalse();
+    assertThat(coldStart.isCold(host("new"), NOW + settings.rules().slowStartMs())).isFalse();
     assertThat(coldStart.isCold(host("old"), NOW)).isFalse();
   }
 
--- a/src/test/java/ternscale/policy/LcStarBalancerTest.java
+++ b/src/test/java/ternscale/policy/LcStarBalancerTest.java
@@ -9,18 +9,18 @@
 import ternscale.api.HostEntry.Availability;
 import ternscale.api.MembersUpdate.Kind;
 import ternscale.api.Outcome.Result;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Discovery;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 
 class LcStarBalancerTest {
-  private static Gateway gateway(Effect effect, Group group) {
+  private static Gateway gateway(Effect effect, DedupScope group) {
     return new Gateway(Gateway.settings(Discovery.PUSHED, Gateway.type(effect, group)), 7);
   }
 
   @Test
   void shortRequestsGoToTheFewestOwnInFlight() {
-    Gateway g = gateway(Effect.REPEATABLE, Group.ALL);
+    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
     g.hosts(5);
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 5; i++) {
@@ -36,7 +36,7 @@
 
   @Test
   void aLongRequestAvoidsHostsThatHoldOneOfOurLongOnes() {
-    Gateway g = gateway(Effect.REPEATABLE, Group.ALL);
+    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
     g.hosts(2);
     for (int i = 0; i < 64; i++) {
       g.request(0, i < 60 ? 1 : 50);
@@ -59,12 +59,12 @@
 
   @Test
   void nothingNewGoesToADrainingOrGoneHost() {
-    Gateway g = gateway(Effect.REPEATABLE, Group.ALL);
+    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
     g.hosts(3);
     g.members(
         Kind.DELTA,
         Gateway.host("h0", 0, Availability.DRAINING, 0),
-        Gateway.host("h1", 1, Availability.GONE, 0));
+        Gateway.host("h1", 1, Availability.REMOVED, 0));
     for (int i = 0; i < 20; i++) {
       g.request(0, 0);
       assertThat(g.lastSent().host()).isEqualTo("h2");
@@ -73,7 +73,7 @@
 
   @Test
   void anUnsafeRequestIsNotRepeatedOnceItMayHaveRun() {
-    Gateway g = gateway(Effect.ONCE, Group.ALL);
+    Gateway g = gateway(Effect.ONCE, DedupScope.ALL);
     g.hosts(3);
     String id = g.request(0, 0);
     g.outcome(g.lastSent(), Result.ERROR, 20, false);
@@ -83,7 +83,7 @@
 
   @Test
   void anUnsafeRequestIsRepeatedAfterProofThatItNeverRan() {
-    Gateway g = gateway(Effect.ONCE, Group.ALL);
+    Gateway g = gateway(Effect.ONCE, DedupScope.ALL);
     g.hosts(3);
     String id = g.request(0, 0);
     g.outcome(g.lastSent(), Result.REJECTED, 1, false);
@@ -96,7 +96,8 @@
     for (int seed = 0; seed < 20; seed++) {
       Gateway g =
           new Gateway(
-              Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.BY_KEY, Group.ZONE)), seed);
+              Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.BY_KEY, DedupScope.ZONE)),
+              seed);
       g.hosts(8);
       String id = g.request(0, 0);
       int zone = Integer.parseInt(g.lastSent().host().substring(1)) % 2;
@@ -108,11 +109,11 @@
 
   @Test
   void lateAndCrossingEventsAreHarmless() {
-    Gateway g = gateway(Effect.REPEATABLE, Group.ALL);
+    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
     g.hosts(2);
     String id = g.request(0, 0);
-    g.balancer.onClientGone(g.now, id);
-    g.balancer.onClientGone(g.now, id);
+    g.balancer.onClientDisconnected(g.now, id);
+    g.balancer.onClientDisconnected(g.now, id);
     g.outcome(g.sentFor(id).get(0), Result.CANCELLED, 3, true);
     g.outcome(g.sentFor(id).get(0), Result.TIMEOUT, 3, false);
     g.balancer.onTimer(g.now, 2);
@@ -123,7 +124,7 @@
 
   @Test
   void aRequestWithNoReadyHostIsAnsweredInTime() {
-    Gateway g = gateway(Effect.REPEATABLE, Group.ALL);
+    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
     String id = g.request(0, 0);
     g.now += 496;
     g.balancer.onTimer(g.now, 2);
@@ -132,7 +133,7 @@
 
   @Test
   void misuseNamesTheValue() {
-    Gateway g = gateway(Effect.REPEATABLE, Group.ALL);
+    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
     g.hosts(2);
     assertThatThrownBy(() -> g.request(5, 0)).hasMessageContaining("5");
     g.balancer.close();
--- a/src/test/java/ternscale/policy/RuleCheckTest.java
+++ b/src/test/java/ternscale/policy/RuleCheckTest.java
@@ -17,9 +17,9 @@
 import ternscale.api.Outcome.Result;
 import ternscale.api.RequestInfo;
 import ternscale.api.Settings;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Discovery;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 import ternscale.api.Settings.RequestClass;
 
 /** Plays seeded legal events at the balancer and checks every action against the rules. */
@@ -27,9 +27,9 @@
   private static final Settings SETTINGS =
       Gateway.settings(
           Discovery.PUSHED,
-          Gateway.type(Effect.REPEATABLE, Group.ALL),
-          Gateway.type(Effect.BY_KEY, Group.ZONE),
-          Gateway.type(Effect.ONCE, Group.ALL));
+          Gateway.type(Effect.REPEATABLE, DedupScope.ALL),
+          Gateway.type(Effect.BY_KEY, DedupScope.ZONE),
+          Gateway.type(Effect.ONCE, DedupScope.ALL));
 
   private static final class Try {
     final HostEntry host;
@@ -81,7 +81,7 @@
         if (t.mayHaveRun() && r.type().effect() != Effect.REPEATABLE) {
           assertThat(r.type().effect()).isEqualTo(Effect.BY_KEY);
           assertThat(h.zone()).isEqualTo(t.host.zone());
-          assertThat(now - t.sentAt).isLessThan(r.type().windowMs());
+          assertThat(now - t.sentAt).isLessThan(r.type().dedupWindowMs());
         }
       }
       r.tries.add(new Try(h, now));
@@ -90,12 +90,12 @@
     private void answer(String requestId) {
       Owed r = requests.get(requestId);
       assertThat(r.answered).as("answered twice").isFalse();
-      assertThat(now).isLessThanOrEqualTo(r.info.deadline() + SETTINGS.rules().answerGraceMs());
+      assertThat(now).isLessThanOrEqualTo(r.info.deadline() + SETTINGS.rules().responseGraceMs());
       r.answered = true;
     }
 
     @Override
-    public void refuse(String requestId, double retryAfterMs) {
+    public void reject(String requestId, double retryAfterMs) {
       script.add("refuse " + requestId);
       Owed r = requests.get(requestId);
       if (r.type().effect() != Effect.REPEATABLE) {
@@ -134,7 +134,7 @@
     public void watch(boolean on) {}
 
     @Override
-    public void tellPeer(int peer, String data) {}
+    public void sendToPeer(int peer, String data) {}
 
     @Override
     public void log(String line) {}
@@ -175,7 +175,7 @@
         Owed r = c.open.get(random.nextInt(c.open.size()));
         if (!r.answered) {
           r.answered = true;
-          balancer.onClientGone(c.now, r.info.id());
+          balancer.onClientDisconnected(c.now, r.info.id());
         }
       }
     }
--- a/src/test/java/ternscale/policy/SilenceTest.java
+++ b/src/test/java/ternscale/policy/SilenceTest.java
@@ -10,9 +10,9 @@
 import ternscale.api.MembersUpdate;
 import ternscale.api.Outcome.Result;
 import ternscale.api.RequestInfo;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Discovery;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 
 /** A gateway whose zone is cut off from the others: most hosts are silent, its own answer. */
 class SilenceTest {
@@ -26,7 +26,8 @@
   private static double lost(int answering, Result ofTheSilent, double afterMs) {
     Gateway g =
         new Gateway(
-            Gateway.settings(Discovery.PUSHED, true, Gateway.type(Effect.REPEATABLE, Group.ALL)),
+            Gateway.settings(
+                Discovery.PUSHED, true, Gateway.type(Effect.REPEATABLE, DedupScope.ALL)),
             3);
     HostEntry[] hosts = new HostEntry[HOSTS];
     for (int i = 0; i < HOSTS; i++) {
--- a/src/test/java/ternscale/policy/SlowStartFleetTest.java
+++ b/src/test/java/ternscale/policy/SlowStartFleetTest.java
@@ -16,8 +16,8 @@
 import ternscale.api.MembersUpdate;
 import ternscale.api.Outcome.Result;
 import ternscale.api.Settings;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 
 /**
  * The budget of a host in slow start binds the sum of what all gateways send it, though each knows
@@ -26,7 +26,7 @@
  */
 class SlowStartFleetTest {
   private static final Settings SETTINGS =
-      Gateway.settings(Settings.Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, Group.ALL));
+      Gateway.settings(Settings.Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
 
   /** And as many as there are gateways, where those are more. */
   private static final int LEAST_HOSTS = 20;
@@ -113,7 +113,7 @@
 
     void play() {
       double rate = LOAD * CAPACITY * hosts;
-      double end = coldAt + SETTINGS.rules().coldMs();
+      double end = coldAt + SETTINGS.rules().slowStartMs();
       boolean told = false;
       while (now < end) {
         now -= Math.log(1 - random.nextDouble()) / rate;
@@ -135,7 +135,7 @@
     }
 
     private void restartGatewaysInMidRamp() {
-      double middle = coldAt + SETTINGS.rules().coldMs() / 4;
+      double middle = coldAt + SETTINGS.rules().slowStartMs() / 4;
       if (start != Start.GATEWAYS_RESTART_TOO || restarted || now < middle) {
         return;
       }
@@ -186,11 +186,12 @@
       double worst = Double.NEGATIVE_INFINITY;
       for (double from : coldCalls) {
         double warmth =
-            rules.coldFrom() + (1 - rules.coldFrom()) * (from - coldAt) / rules.coldMs();
-        double allowed = rules.fallMultiple() * warmth * CAPACITY * rules.fallMs();
+            rules.initialCapacityShare()
+                + (1 - rules.initialCapacityShare()) * (from - coldAt) / rules.slowStartMs();
+        double allowed = rules.overloadMultiple() * warmth * CAPACITY * rules.overloadMs();
         double slack = allowed < 30 ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
         long calls =
-            coldCalls.stream().filter(at -> at >= from && at < from + rules.fallMs()).count();
+            coldCalls.stream().filter(at -> at >= from && at < from + rules.overloadMs()).count();
         worst = Math.max(worst, calls - allowed - slack);
       }
       return worst;
