--- a/src/main/java/ternscale/adapter/Adapter.java
+++ b/src/main/java/ternscale/adapter/Adapter.java
@@ -14,7 +14,10 @@
 import ternscale.api.RequestInfo;
 import ternscale.policy.LcStarBalancer;
 
-/** Speaks the wire for many instances: one balancer each, one reply a batch. No decisions here. */
+/**
+ * Connects the simulator's wire protocol to balancers: one balancer per instance, one reply per
+ * batch of events. It makes no decisions itself.
+ */
 final class Adapter {
   private final WireReader in;
   private final WireWriter out;
@@ -26,7 +29,7 @@
     this.out = new WireWriter(out);
   }
 
-  /** Serves until the input ends between two batches. */
+  /** Processes batches until the input ends between two of them. */
   void run() throws IOException {
     while (in.next()) {
       String msg = in.text(Field.MSG);
@@ -50,7 +53,7 @@
     }
   }
 
-  /** Hands one event on; false when the module failed, after which the day is over. */
+  /** Dispatches one event. Returns false if the balancer failed, which ends the simulation. */
   private boolean handle(String msg, boolean failed) {
     int who = in.small(Field.WHO);
     Runnable event = parse(msg, who);
--- a/src/main/java/ternscale/adapter/JsonTree.java
+++ b/src/main/java/ternscale/adapter/JsonTree.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A small JSON value with typed access; used for the settings, which come once an instance. */
+/** A JSON value with typed access, for small documents such as the settings of an instance. */
 public final class JsonTree {
   private final String path;
   private final Object value;
@@ -22,12 +22,12 @@
     return read("settings", parser);
   }
 
-  /** Reads the value that the parser stands on; complaints call it {@code path}. */
+  /** Reads the value at the parser's current token; errors refer to it as {@code path}. */
   public static JsonTree read(String path, JsonParser parser) throws IOException {
     return new JsonTree(path, readValue(parser));
   }
 
-  /** A value that was read elsewhere: a map, list, string, double, boolean or null. */
+  /** Wraps a value that was parsed elsewhere: a map, list, string, double, boolean or null. */
   public static JsonTree of(String path, Object value) {
     return new JsonTree(path, value);
   }
@@ -68,7 +68,7 @@
     }
   }
 
-  /** A member; an absent one is a value that takes every default. */
+  /** A member of this object; an absent member is a null value, which yields each default. */
   public JsonTree get(String key) {
     if (value == null) {
       return new JsonTree(path + "." + key, null);
@@ -142,10 +142,10 @@
   }
 
   /**
-   * Checks that whatever {@code model} holds is here too, at any depth: the members of each object,
-   * and in each object of an array those that all objects of the model's array have.
+   * Checks that this value has all members of {@code model}, at any depth. Each object of an array
+   * needs the members that all objects of the model's array have in common.
    *
-   * @throws WireException naming the first that is missing or null
+   * @throws WireException naming the first member that is missing or null
    */
   public void requireKeysOf(JsonTree model) {
     if (model.value instanceof Map<?, ?> keys) {
@@ -164,7 +164,7 @@
     }
   }
 
-  /** Of an array of objects: what all of them have. */
+  /** The members that all objects of this array have in common. */
   private JsonTree common() {
     Map<?, ?> common = null;
     for (JsonTree item : list()) {
--- a/src/main/java/ternscale/adapter/Main.java
+++ b/src/main/java/ternscale/adapter/Main.java
@@ -8,7 +8,7 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** The command line. */
+/** Command line of the adapter. */
 public final class Main {
   private static final String USAGE =
       """
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Runs a command; the exit status is 0, 1 for bad input and 2 for a wrong call. */
+  /** Runs a command; returns 0, 1 for invalid input or 2 for a usage error. */
   static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
     if (args.length == 1 && args[0].equals("--help")) {
       new PrintStream(out, true).print(USAGE);
--- a/src/main/java/ternscale/adapter/SettingsReader.java
+++ b/src/main/java/ternscale/adapter/SettingsReader.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import ternscale.api.Settings;
 
-/** Turns the dialect's settings object into {@link Settings}. */
+/** Converts the settings object of the wire protocol to {@link Settings}. */
 public final class SettingsReader {
   private SettingsReader() {}
 
--- a/src/main/java/ternscale/adapter/WireException.java
+++ b/src/main/java/ternscale/adapter/WireException.java
@@ -1,6 +1,6 @@
 package ternscale.adapter;
 
-/** Input that the dialect does not allow; the message names the line and the field. */
+/** Input that violates the wire protocol; the message names the line and the field. */
 public final class WireException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/ternscale/adapter/WireReader.java
+++ b/src/main/java/ternscale/adapter/WireReader.java
@@ -13,8 +13,8 @@
 import ternscale.api.HostEntry.Availability;
 
 /**
- * Reads one message after another. Values are kept in reused slots, one for each field name of the
- * dialect; a value of the wrong type only matters to a message that asks for that field.
+ * Reads the messages of the wire protocol. Values are stored in reused slots, one per field name; a
+ * value of the wrong type is an error only if the message needs that field.
  */
 final class WireReader {
   private static final int ABSENT = 0;
@@ -23,7 +23,7 @@
   private static final int FLAG = 3;
   private static final int OTHER = 4;
 
-  /** The fields of the dialect's events; settings, entries and reports have slots of their own. */
+  /** The fields of events, except settings, entries and reports, which have separate slots. */
   enum Field {
     MSG("msg"),
     WHO("who"),
--- a/src/main/java/ternscale/adapter/WireWriter.java
+++ b/src/main/java/ternscale/adapter/WireWriter.java
@@ -9,7 +9,7 @@
 import java.io.UncheckedIOException;
 import ternscale.api.Actions;
 
-/** Writes the actions of one reply; nothing reaches the output before the reply is complete. */
+/** Writes the actions of a reply, which is buffered until it is complete. */
 final class WireWriter {
   private static final SerializedString MSG = new SerializedString("msg");
   private static final SerializedString WHO = new SerializedString("who");
@@ -26,7 +26,7 @@
     json.setRootValueSeparator(new SerializedString(""));
   }
 
-  /** Ends the reply and hands it over in one write and one flush. */
+  /** Ends the reply and sends it with one write and one flush. */
   void finish(long frame) throws IOException {
     json.writeStartObject();
     json.writeStringField("msg", "Yield");
@@ -72,7 +72,7 @@
     action("GiveIn", who, () -> json.writeStringField("line", text));
   }
 
-  /** The actions of one instance. */
+  /** Creates the actions of one instance. */
   Actions forInstance(int who) {
     return new InstanceActions(who);
   }
--- a/src/main/java/ternscale/api/Actions.java
+++ b/src/main/java/ternscale/api/Actions.java
@@ -1,42 +1,43 @@
 package ternscale.api;
 
 /**
- * What a {@link Balancer} asks its gateway to carry out. Calls arrive only while the balancer
- * handles an event, in the order in which they are to take effect.
+ * Actions that a {@link Balancer} requests from its gateway. They are called only while the
+ * balancer handles an event, in the order in which they take effect.
  */
 public interface Actions {
   /**
-   * Starts the next attempt of a request; {@code timeoutMs} of 0 means until the client's deadline.
+   * Starts the next attempt of a request; a {@code timeoutMs} of 0 means until the client's
+   * deadline.
    */
   void send(String requestId, String host, double timeoutMs);
 
-  /** Final answer: refused, a new try is harmless. {@code retryAfterMs} of 0 gives no advice. */
+  /** Final response: rejected; a retry is safe. A {@code retryAfterMs} of 0 gives no advice. */
   void reject(String requestId, double retryAfterMs);
 
-  /** Final answer: failed, with no promise about its effect. */
+  /** Final response: failed; the request may have had its effect. */
   void fail(String requestId);
 
-  /** Stops waiting for one attempt. */
+  /** Cancels one attempt. */
   void cancel(String requestId, int attempt);
 
-  /** Asks a host for a sign of life and, where there are any, its load report. */
+  /** Sends a health check to a host, which may return a load report. */
   void probe(String host);
 
-  /** Closes the idle connections held to a host. */
+  /** Closes the idle connections to a host. */
   void closeIdle(String host);
 
-  /** Asks for {@link Balancer#onTimer} after {@code delayMs}. Timers cannot be taken back. */
+  /** Schedules {@link Balancer#onTimer} after {@code delayMs}. Timers cannot be cancelled. */
   void setTimer(long timer, double delayMs);
 
-  /** Asks discovery once for the complete list. */
+  /** Requests the complete list from discovery once. */
   void poll();
 
-  /** Starts or ends the subscription to list changes. */
+  /** Starts or stops the subscription to list changes. */
   void watch(boolean on);
 
-  /** Sends a few bytes to a peer; {@code peer} below 0 means all of them. */
+  /** Sends a short message to a peer; a negative {@code peer} means all peers. */
   void sendToPeer(int peer, String data);
 
-  /** A line for the operators' log. */
+  /** Writes a line to the operators' log. */
   void log(String line);
 }
--- a/src/main/java/ternscale/api/Balancer.java
+++ b/src/main/java/ternscale/api/Balancer.java
@@ -1,50 +1,51 @@
 package ternscale.api;
 
 /**
- * The decisions of one gateway. One method per event; every method is given the clock in
- * milliseconds, which never runs backwards, and answers through the {@link Actions} it was built
- * with. A balancer is confined to one thread, keeps no thread or clock of its own, and with the
- * same settings, seed and events asks for the same actions.
+ * Makes the decisions of one gateway. There is one method per event. Each is passed the current
+ * time in milliseconds, which never decreases, and acts through the {@link Actions} that the
+ * balancer was created with. A balancer is confined to one thread, has no thread or clock of its
+ * own, and requests the same actions for the same settings, seed and events.
  *
- * <p>Events that cross an earlier decision (the client of an ended request leaves, an outcome of a
- * cancelled attempt, a timer with nothing left to do) are expected and harmless. After {@link
- * #close} every event that it heeds throws {@link IllegalStateException}.
+ * <p>Events that arrive after a decision that overtook them (a disconnect of the client of a
+ * finished request, an outcome of a cancelled attempt, a timer without pending work) are expected
+ * and ignored. After {@link #close} every event that is not a no-op throws {@link
+ * IllegalStateException}.
  */
 public interface Balancer {
-  /** Discovery reports hosts, or that it could not. */
+  /** Discovery delivered a host list or change, or failed to. */
   void onMembers(double now, MembersUpdate update);
 
-  /** A client request was accepted; it is now owed exactly one final answer. */
+  /** A client request was accepted; it must receive exactly one final response. */
   void onRequest(double now, RequestInfo request);
 
-  /** The client of a request left; no answer is owed any more. */
+  /** The client of a request disconnected; it no longer needs a response. */
   void onClientDisconnected(double now, String requestId);
 
   /** An attempt ended. */
   void onOutcome(double now, Outcome outcome);
 
-  /** A streamed answer has begun; the attempt now belongs to the client. */
+  /** A streamed response has started; the request can no longer be retried. */
   void onResponseStarted(double now, String requestId, int attempt, String host);
 
-  /** A timer came due. */
+  /** A timer expired. */
   void onTimer(double now, long timer);
 
-  /** A probe was answered or failed; of no interest to who never probes. */
+  /** A probe finished; does nothing by default, for balancers that never probe. */
   default void onProbeResult(double now, ProbeResult result) {}
 
-  /** A peer sent a message; of no interest to who never sends any. */
+  /** A peer sent a message; does nothing by default, for balancers that never send any. */
   default void onPeerMessage(double now, int sender, String data) {}
 
   /**
-   * Other settings are in force. Of what it was built with only the classes and the limits may have
-   * changed: each class that it knows is still at its place, and more may stand behind. Requests in
-   * hand keep the class that they came with.
+   * The settings were reloaded. Only classes and limits may differ from the settings that the
+   * balancer was created with: existing classes keep their indexes, and new ones may follow.
+   * Requests that are already accepted keep the class they arrived with.
    */
   void onSettings(double now, Settings settings);
 
-  /** How many hosts it would send a request to, going by what it knows of them; no event. */
+  /** The number of hosts that it currently considers for requests; a query, not an event. */
   int usableHosts(double now);
 
-  /** Ends this balancer; all it held is void. */
+  /** Closes this balancer and abandons its requests. */
   void close();
 }
--- a/src/main/java/ternscale/api/HostEntry.java
+++ b/src/main/java/ternscale/api/HostEntry.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** One host as discovery lists it. {@code startedAt} of 0 means long ago. */
+/** One host as listed by discovery. A {@code startedAt} of 0 means that it started long ago. */
 public record HostEntry(
     String host,
     double weight,
@@ -11,7 +11,7 @@
     int cell,
     Availability availability,
     double startedAt) {
-  /** Whether a host may be sent to. */
+  /** Whether a host accepts new requests. */
   public enum Availability {
     UP,
     DRAINING,
@@ -26,7 +26,7 @@
     }
   }
 
-  /** The same host with other news of whether it may be sent to. */
+  /** This entry with another availability. */
   public HostEntry withAvailability(Availability now) {
     return new HostEntry(host, weight, hardwareType, zone, cell, now, startedAt);
   }
--- a/src/main/java/ternscale/api/MembersUpdate.java
+++ b/src/main/java/ternscale/api/MembersUpdate.java
@@ -3,22 +3,22 @@
 import java.util.List;
 import java.util.Objects;
 
-/** News from discovery. */
+/** An update of the host list from discovery. */
 public record MembersUpdate(Kind kind, long version, List<HostEntry> entries) {
-  /** What the entries stand for. */
+  /** What the entries represent. */
   public enum Kind {
-    /** Only what changed. */
+    /** Changed entries only. */
     DELTA,
     /** The complete list. */
     FULL,
-    /** The complete list this gateway last held, perhaps outdated. */
+    /** The complete list last known to this gateway, possibly outdated. */
     CACHED,
-    /** A call failed or the subscription broke; no entries. */
+    /** A call or the subscription failed; no entries. */
     FAILED,
-    /** A call or the subscription fell silent, so that news may have been missed; no entries. */
+    /** A call or the subscription stopped responding, so changes may be missing; no entries. */
     UNRESPONSIVE;
 
-    /** Whether entries come with it. */
+    /** Whether an update of this kind carries entries. */
     public boolean hasEntries() {
       return this != FAILED && this != UNRESPONSIVE;
     }
--- a/src/main/java/ternscale/api/Outcome.java
+++ b/src/main/java/ternscale/api/Outcome.java
@@ -4,8 +4,8 @@
 import java.util.Objects;
 
 /**
- * How an attempt ended. {@code report} is empty when no load report came along; for
- * {@code gatewayDelayMs} of the elapsed time the gateway itself was late, not the host.
+ * The outcome of an attempt. {@code report} is empty without a load report; for {@code
+ * gatewayDelayMs} of the elapsed time the gateway itself was late, not the host.
  */
 public record Outcome(
     String requestId,
@@ -16,7 +16,7 @@
     boolean requestEnded,
     List<Double> report,
     double gatewayDelayMs) {
-  /** The ways in which an attempt or a probe can end. */
+  /** Result of an attempt or a probe. */
   public enum Result {
     OK(false),
     ERROR(false),
@@ -33,13 +33,13 @@
       this.neverRan = neverRan;
     }
 
-    /** True when this result proves that the host never ran the request. */
+    /** Whether this result proves that the host never ran the request. */
     public boolean neverRan() {
       return neverRan;
     }
   }
 
-  /** One at a gateway that was never behind. */
+  /** Creates an outcome without a delay in the gateway. */
   public Outcome(
       String requestId,
       String host,
--- a/src/main/java/ternscale/api/ProbeResult.java
+++ b/src/main/java/ternscale/api/ProbeResult.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Objects;
 
-/** How a probe ended. {@code report} is empty when no load report came along. */
+/** The outcome of a probe. {@code report} is empty without a load report. */
 public record ProbeResult(
     String host, Outcome.Result result, double elapsedMs, List<Double> report) {
   public ProbeResult {
--- a/src/main/java/ternscale/api/RequestInfo.java
+++ b/src/main/java/ternscale/api/RequestInfo.java
@@ -3,10 +3,9 @@
 import java.util.Objects;
 
 /**
- * A client request. {@code deadline} is the clock time at which the client gives this try up;
- * {@code costHint} is expected work in milliseconds on a standard core, 0 when there is none;
- * {@code key} may be null; {@code readDelayMs} is how long it waited to be read,
- * which counts towards its latency.
+ * A client request. {@code deadline} is the time at which the client times out this attempt; {@code
+ * costHint} is the expected work in milliseconds on a standard core, 0 if unknown; {@code key} may
+ * be null; {@code readDelayMs} is how long it waited to be read, which counts towards its latency.
  */
 public record RequestInfo(
     String id,
@@ -18,7 +17,7 @@
     boolean isWrite,
     boolean isClientRetry,
     double readDelayMs) {
-  /** One that was read as soon as it came. */
+  /** Creates a request that was read without delay. */
   public RequestInfo(
       String id,
       int requestClass,
--- a/src/main/java/ternscale/api/Settings.java
+++ b/src/main/java/ternscale/api/Settings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Objects;
 
-/** What a gateway is told when it starts. All times are in milliseconds. */
+/** The settings of a gateway. All times are in milliseconds. */
 public record Settings(
     int instanceIndex,
     int instanceCount,
@@ -25,14 +25,14 @@
     List<ReportField> reportFields,
     WeightMeaning weightMeaning) {
 
-  /** How hosts that see a request twice treat the repeat. */
+  /** How hosts treat a duplicate of a request. */
   public enum Effect {
     REPEATABLE,
     BY_KEY,
     ONCE
   }
 
-  /** The hosts that together drop a repeat. */
+  /** The set of hosts that share the memory by which duplicates are dropped. */
   public enum DedupScope {
     ALL,
     ZONE,
@@ -45,14 +45,14 @@
     ON_REQUEST
   }
 
-  /** Where load reports come from. */
+  /** How load reports arrive. */
   public enum ReportMode {
     WITH_RESPONSES,
     WITH_PROBES,
     NONE
   }
 
-  /** The values of a load report; {@code OTHER} is one this library does not know. */
+  /** The columns of a load report; {@code OTHER} is an unknown one. */
   public enum ReportField {
     IN_FLIGHT,
     QUEUE,
@@ -63,7 +63,7 @@
     OTHER
   }
 
-  /** What a listed weight stands for. */
+  /** The meaning of a listed weight. */
   public enum WeightMeaning {
     NONE,
     NOMINAL,
@@ -71,7 +71,15 @@
     LIVE
   }
 
-  /** A class of requests. */
+  /**
+   * A class of requests.
+   *
+   * @param targetLatencyMs latency up to which a response has its full value
+   * @param targetLatencyPerCostMs increase of that target for each unit of the cost hint
+   * @param value value of a response in time, per unit of work
+   * @param lateValueFactor fraction of the value that a late response keeps
+   * @param dedupWindowMs how long hosts remember a request to drop duplicates of it
+   */
   public record RequestClass(
       double targetLatencyMs,
       double targetLatencyPerCostMs,
@@ -92,7 +100,7 @@
     }
   }
 
-  /** A customer and its share of the service; {@code quotaRps} of 0 means no quota. */
+  /** A tenant and its share of the service; a {@code quotaRps} of 0 means no quota. */
   public record Tenant(double share, double quotaRps) {
     public Tenant {
       require(share >= 0, "tenant share must not be negative", share);
@@ -100,7 +108,7 @@
     }
   }
 
-  /** What the deployment permits. */
+  /** Limits and optional features of the deployment. */
   public record Limits(
       int maxAttempts,
       boolean mayHedge,
@@ -117,7 +125,16 @@
     }
   }
 
-  /** The figures of the rules every gateway keeps. */
+  /**
+   * Parameters of the rules that every gateway must follow.
+   *
+   * @param initialCapacityShare share of its capacity that a host has right after its start
+   * @param slowStartMs time after which a host has its full capacity
+   * @param overloadMultiple multiple of its current capacity beyond which a cold host is overloaded
+   * @param overloadMs length of the window over which that load is measured
+   * @param responseGraceMs time after its deadline within which a request may be answered
+   * @param maxPollIntervalMs maximum time without an update where discovery answers on request
+   */
   public record Rules(
       double initialCapacityShare,
       double slowStartMs,
@@ -137,11 +154,11 @@
     }
   }
 
-  /** What side effects cost, in points of the result per unit. */
+  /** Costs of side effects, in points of the objective per unit. */
   public record Costs(
       double crossZone, double probe, double wastedWork, double lateFailure, double handshake) {}
 
-  /** How the result is mixed. */
+  /** Weights of the parts of the objective. */
   public record Objective(
       double overall, double worstWindow, double worstClass, double worstTenant) {}
 
--- a/src/main/java/ternscale/policy/Admission.java
+++ b/src/main/java/ternscale/policy/Admission.java
@@ -10,61 +10,75 @@
 import ternscale.api.Settings.RequestClass;
 
 /**
- * Load shedding and the retry budget. What would end late anyway is refused at once, the least
- * worth per unit of work first: traffic over a tenant's share, then the cheaper classes.
+ * Load shedding and the retry budget. Under overload, requests that would miss their latency target
+ * are rejected on arrival, lowest value per unit of work first: traffic over a tenant's quota, then
+ * classes of lower value.
  */
 final class Admission {
-  /** An answer this far into its aim shows queues, best seen soon; judged by the usual time. */
+  /**
+   * A response that takes longer than a multiple of the typical latency of its class counts as
+   * late, so that queues show early; the threshold stays between these fractions of the latency
+   * target.
+   */
   private static final double LEAST_LATE = 0.4;
 
   private static final double NEARLY_LATE = 0.7;
   private static final double USUAL_FACTOR = 2.5;
 
-  /** The usual time is a low quantile, which queues move last; it moves slowly. */
+  /** Typical latency is a low quantile, which queueing affects last; its estimate moves slowly. */
   private static final double USUAL_QUANTILE = 0.3;
 
   private static final double USUAL_STEP = 0.02;
 
   private static final double USUAL_SPAN_MS = 100;
 
-  /** The level moves by time, whatever the traffic; in balance where an outcome in 7 is bad. */
+  /**
+   * The shed level moves with elapsed time, not per outcome, so its speed does not depend on the
+   * request rate. It is in equilibrium when one outcome in 7 is bad.
+   */
   private static final double RISE_PER_MS = 0.9e-3;
 
-  /** Without repeats what is late feeds no jam (bc-screening); known only where they are marked. */
+  /**
+   * Late responses do not amplify an overload when clients do not retry (observed at site
+   * bc-screening), so the level rises more slowly. Retries are known only where clients mark them.
+   */
   private static final double CALM_RISE_PER_MS = 0.3e-3;
 
   private static final double CALM_REPEATS = 0.05;
 
   private static final double FALL_PER_MS = 0.15e-3;
 
-  /** One outcome speaks for at most this long, and takes up this part of it. */
+  /** One outcome accounts for at most this much elapsed time, and consumes this share of it. */
   private static final double OUTCOME_SPAN_MS = 500;
 
   private static final double OUTCOME_PART = 0.5;
 
-  /** Levels that a few late answers reach by chance; nothing is refused for them. */
+  /** A few late responses can raise the level this far by chance; nothing is shed below it. */
   private static final double DEAD_BAND = 0.1;
 
-  /** Some traffic always passes, or nothing would tell that the jam is over. */
+  /** Some traffic always passes; otherwise no outcome would show that the overload has ended. */
   private static final double MOST_SHED = 0.9;
 
-  /** The order of refusal is renewed this often, as another class becomes the one served worst. */
+  /** The shedding order is recomputed at this interval, as the worst-served class may change. */
   private static final double ORDER_MS = 200;
 
-  /** Memory of the traffic mix. */
+  /** Time constant of the traffic mix. */
   private static final double MIX_MEMORY_MS = 5_000;
 
-  /** Retry budget: this part of the first sends, so that retries cannot feed a jam. */
+  /** Each first send adds this much to the retry budget, so retries cannot amplify an overload. */
   private static final double RETRY_SHARE = 0.1;
 
   private static final double RETRY_COST_OF_ERROR = 0.1;
 
   private static final double RETRY_BURST = 5;
 
-  /** A hint this far beyond the aim is met only by an idle fast host, so it goes first in a jam. */
+  /**
+   * Only an idle, fast host can serve a request whose cost hint exceeds its target this many times,
+   * so such requests are shed first.
+   */
   private static final double TOO_HEAVY_FACTOR = 1.5;
 
-  /** And this far beyond it by none: it would only hold up what can be in time. */
+  /** No host can meet the target beyond this factor; the request would only delay others. */
   private static final double HOPELESS_FACTOR = 4;
 
   private static final double RETRY_AFTER_PART = 0.1;
@@ -77,12 +91,12 @@
   private final Random random;
   private final double startedAt;
 
-  /** Decayed work by class, whether over the tenant's share, and whether too heavy for its aim. */
+  /** Decayed offered work by class, over quota or not, and too expensive for its target or not. */
   private double[] work = new double[0];
 
   private int[] byDensity;
 
-  /** Worth asked for and served in time by class: the goal may weigh the class served worst. */
+  /** Value offered and value served in time, by class; the objective may weight the worst class. */
   private double[] asked;
 
   private double[] served;
@@ -105,7 +119,7 @@
     reload(settings, now);
   }
 
-  /** Goes on under other settings; which class is served worst shows anew. */
+  /** Applies new settings, and restarts the statistics that identify the worst-served class. */
   void reload(Settings next, double now) {
     settings = next;
     int classes = next.classes().size();
@@ -117,7 +131,7 @@
     order(now);
   }
 
-  /** Orders the buckets by what the goal loses per unit of work refused. */
+  /** Sorts the buckets by what the objective loses per unit of work shed. */
   private void order(double now) {
     orderedAt = now;
     int worst =
@@ -143,7 +157,7 @@
         * ((bucket & TOO_HEAVY) != 0 ? c.lateValueFactor() : 1);
   }
 
-  /** Whether to take a request on; false means refuse it now. */
+  /** Whether to accept a request; false means to reject it now. */
   boolean admits(Pending p, double now) {
     age(now);
     RequestInfo r = p.info;
@@ -176,7 +190,10 @@
     return true;
   }
 
-  /** Draws whether this request lies past its tenant's share, judged by the own part of it. */
+  /**
+   * Draws at random whether a request counts as over its tenant's quota. The fleet-wide rate is
+   * estimated as this gateway's rate times the number of gateways.
+   */
   private boolean overShare(int tenant, double now) {
     if (tenant >= tenantCount.length) {
       return false;
@@ -203,7 +220,7 @@
       served[p.info.requestClass()] += now <= p.aimAt() ? p.worth() : 0;
       double usual = USUAL_FACTOR * usual(p.info.requestClass(), elapsedMs, now);
       late = Math.min(late, Math.max(LEAST_LATE * c.targetLatencyMs(), usual));
-      // What is heavy takes long on an idle host too: of queues only the rest speaks.
+      // An expensive request takes long on an idle host too; only the excess indicates queueing.
       late += Math.max(0, p.info.costHint() - usual / USUAL_FACTOR);
     }
     double span = Math.min(OUTCOME_SPAN_MS, now - heardAt);
@@ -214,11 +231,11 @@
     } else {
       return;
     }
-    // Outcomes of one tick share its span, or only the first of them would count.
+    // Outcomes of the same tick share its span; otherwise only the first of them would count.
     heardAt = now - span * (1 - OUTCOME_PART);
   }
 
-  /** When to come back: soon, as what comes late is of no worth, and later the worse the jam. */
+  /** Advice on when to retry: soon, as late requests have little value; later as load grows. */
   double retryAfterMs() {
     return RETRY_AFTER_PART * level * settings.limits().maxRetryAfterMs();
   }
@@ -232,7 +249,7 @@
     retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
   }
 
-  /** Takes one retry from the budget, if there is one. An error says nothing of load: cheap. */
+  /** Takes a retry from the budget, if it suffices. Errors do not indicate load and cost less. */
   boolean takeRetry(Result after) {
     boolean load = after == Result.REJECTED || after == Result.TIMEOUT;
     double cost = load ? 1 : RETRY_COST_OF_ERROR;
--- a/src/main/java/ternscale/policy/ColdStart.java
+++ b/src/main/java/ternscale/policy/ColdStart.java
@@ -5,24 +5,28 @@
 import ternscale.api.Settings.Rules;
 
 /**
- * Slow start. Every gateway keeps its own part of a cold host's budget: what it sees a host serve,
- * times the share of its capacity a host is sure to have by now. The sum over the gateways then
- * stays near the load of a warm host, scaled down, which is below the permitted multiple.
+ * Slow start. Each gateway limits what it sends to a cold host to the rate it observes per warm
+ * host, times the share of its capacity that the cold host is certain to have. The sum over all
+ * gateways then stays near the load of a warm host, scaled down, which is below the permitted
+ * multiple.
  */
 final class ColdStart {
-  /** Memory of the own served rate: long against a request, short against a change of traffic. */
+  /**
+   * Time constant of this gateway's served rate: long compared with a request, short compared with
+   * changes in traffic.
+   */
   private static final double RATE_MEMORY_MS = 8_000;
 
-  /** Memory of the peak: as long as a deploy may last. */
+  /** Time constant of the peak rate: as long as a deployment may last. */
   private static final double PEAK_MEMORY_MS = 60_000;
 
-  /** The rate is read off only while at least this part of the hosts is warm. */
+  /** The rate is sampled only while at least this share of the hosts is warm. */
   private static final double WARM_SHARE = 0.5;
 
-  /** Part of the multiple used: hosts may be slow, gateways' parts uneven, and bursts come. */
+  /** Fraction of the permitted multiple: covers slow hosts, uneven gateway shares and bursts. */
   private static final double PART_OF_MULTIPLE = 0.35;
 
-  /** Credit that may be saved up, in mean requests; little, as all gateways save at once. */
+  /** Maximum unused credit, in mean requests; small, as all gateways accumulate it at once. */
   private static final double BURST = 0.25;
 
   private final Rules rules;
@@ -35,7 +39,7 @@
   private int listed;
   private int warm;
 
-  /** From when on no host that is up is cold. */
+  /** Time from which no listed host is cold. */
   double coldUntil;
 
   private double at;
@@ -53,28 +57,28 @@
   }
 
   /**
-   * When a host is taken to have started whose start is news. Clocks may differ by any amount: one
-   * that would start only in the future has started by now, and a start that is told as a change
-   * was not over before it was told, however long ago it is said to be.
+   * The start time to use for a host whose listed start time is new. The clock of the list may be
+   * off by any amount: a start in the future counts as now, and so does a start that is reported as
+   * a change but appears to lie a whole slow start or more in the past.
    */
   double believedStart(double listed, boolean isChange, double now) {
     boolean past = listed > 0 && now - listed >= rules.slowStartMs();
     return listed > now || (isChange && past) ? now : listed;
   }
 
-  /** The share of its capacity the host has for sure: grown evenly from its stated start. */
+  /** The share of its capacity that the host certainly has: grows linearly from its start. */
   private double warmth(Host h, double now) {
     double grown = Math.max(0, now - h.startedAt) / rules.slowStartMs();
     return Math.min(1, rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * grown);
   }
 
-  /** Starts a budget at random: full credit at all gateways would push the host over at once. */
+  /** Starts at a random debt: full credit at all gateways at once would overload the host. */
   void begin(Host h, double now) {
     h.coldLevel = -random.nextDouble() * meanWork();
     h.coldLevelAt = now;
   }
 
-  /** Rule 4: whether this gateway's part of the budget has room now. */
+  /** Rule 4 (no overload of a cold host): whether this gateway has credit for the host. */
   boolean admits(Host h, double now) {
     if (!isCold(h, now)) {
       return true;
@@ -85,13 +89,14 @@
     return h.coldLevel >= 0;
   }
 
-  /** Notes work that a host did in time: what hosts are seen to bear. */
+  /** Records work that a host completed: the basis for the rate that a warm host can serve. */
   void onServed(Host h, double work, double now) {
     age(now);
     meanWork += (work - meanWork) * (meanWork == 0 ? 1 : 0.02);
     if (!isCold(h, now)) {
-      // Over the hosts of this moment: with those left of a fleet since gone, a few last hosts
-      // seemed to bear what all had borne, and its return was pushed over (incident L45fba6).
+      // Divides by the current number of hosts. Dividing later, after most of a fleet had been
+      // removed, attributed the fleet's load to the last few hosts, and the returning fleet was
+      // overloaded (incident L45fba6).
       workPerHost += work / Math.max(1, warm);
     }
   }
@@ -102,7 +107,10 @@
     }
   }
 
-  /** What a warm host bears from here: a fading peak, as a deploy cuts the rate of the moment. */
+  /**
+   * The rate at which this gateway loads a warm host: a decaying peak, as the current rate drops
+   * during a deployment.
+   */
   private double bornePerHost(double now) {
     double keep = Math.exp((peakAt - now) / PEAK_MEMORY_MS);
     peakAt = now;
@@ -115,7 +123,7 @@
     return peak;
   }
 
-  /** Counts the hosts that are up and those of them that are warm. */
+  /** Updates the number of listed hosts, and of warm ones among them. */
   void census(List<Host> up, double now) {
     listed = up.size();
     warm = (int) up.stream().filter(h -> !isCold(h, now)).count();
--- a/src/main/java/ternscale/policy/Host.java
+++ b/src/main/java/ternscale/policy/Host.java
@@ -3,7 +3,7 @@
 import ternscale.api.HostEntry;
 import ternscale.api.HostEntry.Availability;
 
-/** One host as this gateway alone knows it: what is listed, held of ours, and learned. */
+/** One host as seen by this gateway: its list entry, requests in flight and learned statistics. */
 final class Host {
   final String id;
   int zone;
@@ -11,56 +11,60 @@
   int kind;
   double weight = 1;
 
-  /** When it started, as this gateway goes by it: see {@link ColdStart#believedStart}. */
+  /** Start time in use, which may differ from the listed one: {@link ColdStart#believedStart}. */
   double startedAt;
 
-  /** The same as it is listed, by the clock of whoever wrote the list. */
+  /** Start time as listed, by the clock of the list's writer. */
   private double listedStart;
 
   Availability availability = Availability.REMOVED;
 
-  /** Own requests in flight: the count that LC* compares. */
+  /** This gateway's requests in flight: the count that LC* compares. */
   int inFlight;
 
-  /** Own long requests in flight: the flag of LC*, as a count. */
+  /** This gateway's long requests in flight: the LC* flag, kept as a count. */
   int longs;
 
-  /** When it last answered anything, and since when something is out; see {@link HostTable}. */
+  /** Time of its last response; with {@link #busySince}, shows when it is unresponsive. */
   double heardAt;
 
+  /** Start of the current period with requests in flight. */
   double busySince;
 
-  /** Outlier ejection: sent nothing before this time. */
+  /** Outlier ejection: receives no requests before this time. */
   double ejectedUntil;
 
-  /** Answers errors: still good for what may be repeated; ejecting it would lose capacity. */
+  /**
+   * Returns errors until this time: it receives only repeatable requests, as ejecting it would lose
+   * capacity.
+   */
   double erringUntil;
 
   int ejections;
 
-  /** Rejections since it last served one of ours. */
+  /** Rejections since it last served a request of this gateway. */
   int rejections;
 
-  /** Decayed evidence: failures, and attempts that ended at all. */
+  /** Decayed counts of failures and of all finished attempts. */
   double failures;
 
   double attempts;
 
-  /** Decayed sum and count of log slowness against the mean of its kind. */
+  /** Decayed sum and count of log slowness relative to the mean of its hardware type. */
   double slowSum;
 
   double slowCount;
   double learnedAt;
 
-  /** When a request last went out or came back, while connections may be open; else 0. */
+  /** When a request was last sent or finished, while connections may be open; 0 otherwise. */
   double connectedAt;
 
-  /** Slow start: work this gateway may still send to the cold host; see {@link ColdStart}. */
+  /** Slow start: work that this gateway may still send to the cold host; {@link ColdStart}. */
   double coldLevel;
 
   double coldLevelAt;
 
-  /** Selection: see {@link Selector}. */
+  /** Position in the ring of hosts; see {@link Selector}. */
   final long hash;
 
   double drawWeight = 1;
@@ -71,7 +75,11 @@
     hash = Selector.mix(0x9e3779b97f4a7c15L ^ Selector.mix(id.hashCode()));
   }
 
-  /** Takes over the listed facts; a new start time means a new process that we know nothing of. */
+  /**
+   * Applies a list entry. A new start time means a new process, so learned statistics are reset.
+   *
+   * @return whether the host has restarted
+   */
   boolean apply(HostEntry e) {
     boolean restarted = e.startedAt() != listedStart && e.availability() != Availability.REMOVED;
     zone = e.zone();
@@ -98,7 +106,7 @@
     slowCount = 0;
   }
 
-  /** Ages what was learned, so that old evidence stops counting. */
+  /** Decays the learned statistics, so that old outcomes lose weight. */
   void age(double now, double memoryMs) {
     double keep = Math.exp((learnedAt - now) / memoryMs);
     learnedAt = now;
--- a/src/main/java/ternscale/policy/HostTable.java
+++ b/src/main/java/ternscale/policy/HostTable.java
@@ -14,55 +14,58 @@
 import ternscale.api.Outcome.Result;
 import ternscale.api.Settings;
 
-/** The hosts, what this gateway learned of each from its own outcomes, and outlier ejection. */
+/** The hosts, the statistics learned from this gateway's outcomes, and outlier ejection. */
 final class HostTable {
-  /** How long an outcome counts: a few times the gap between outcomes of a sparse pair. */
+  /** Time constant of outcomes: a few times their interval at a host with little traffic. */
   private static final double MEMORY_MS = 10_000;
 
-  /** Evidence of the kind a host starts with, in outcomes: few outcomes say little of a host. */
+  /** Weight of the hardware type's mean in a host's slowness, in outcomes of that host. */
   private static final double PRIOR_OUTCOMES = 3;
 
-  /** Weight of an outcome in its zone's slowness: single ones differ more; few come from afar. */
+  /** Weight of an outcome in its zone's slowness; larger for other zones, which yield few. */
   private static final double ZONE_STEP = 0.01;
 
   private static final double FAR_STEP = 0.1;
 
-  /** How long an erring host is spared requests that cannot be repeated. */
+  /** How long a host that returns errors receives no unrepeatable requests. */
   private static final double ERRING_MS = 5_000;
 
-  /** Shortest ejection; it doubles while the host fails again. */
+  /** Shortest ejection; doubles while the host keeps failing. */
   private static final double EJECT_MS = 2_000;
 
   private static final int EJECT_DOUBLINGS = 3;
 
-  /** Never eject more than this part of the listed hosts. */
+  /** Maximum share of the listed hosts that may be ejected. */
   private static final double EJECT_SHARE = 0.4;
 
-  /** Unless a zone is silent and others speak: a gateway that is cut off hears its own alone. */
+  /**
+   * The maximum for a host whose zone is unresponsive while other hosts respond: a partitioned
+   * gateway may reach only its own zone.
+   */
   private static final double SILENT_SHARE = 0.8;
 
-  /** One error is evidence enough where errors are rare: gateways see few outcomes of a host. */
+  /** One failure suffices where failures are rare, as a gateway sees few outcomes of a host. */
   private static final double EJECT_FAILURES = 0.9;
 
-  /** Errors below this part of the attempts are no reason: the service may err everywhere. */
+  /** Failures below this share of attempts do not eject: the service may fail on all hosts. */
   private static final double EJECT_RATE = 1.0 / 6;
 
-  /** Rejections in a row: a full host lets some in, a broken one none (incident i4d927b). */
+  /** Consecutive rejections; a full host accepts some, a broken one none (incident i4d927b). */
   static final int EJECT_REJECTIONS = 4;
 
-  /** And no more than this part of the hosts for it: in a jam many are full (bc's small fleets). */
+  /** Maximum share ejected for rejections: under overload many are full (bc's small fleets). */
   private static final double FULL_SHARE = 0.1;
 
-  /** A time-out may be a long request or a jam; it takes two to eject. */
+  /** A timeout may come from a long request or an overload, so it takes two to eject. */
   private static final double TIMEOUT_EVIDENCE = 0.5;
 
-  /** With short ones out, a host that has said nothing for this part of the aim hangs or pauses. */
+  /** A host with short requests in flight and no response for this part of the target hangs. */
   private static final double QUIET_PART = 0.5;
 
-  /** Connections idle for this long are closed: they fill the hosts' tables (incident i59fa1d). */
+  /** Idle time before connections are closed; they fill the hosts' tables (incident i59fa1d). */
   private static final double LINGER_MS = 1_000;
 
-  /** Where new ones are priced, for this part of the time after which their host closes them. */
+  /** Where handshakes have a cost: the fraction of the idle timeout of hosts to keep them for. */
   private static final double PRICED_LINGER_PART = 0.8;
 
   double lingerMs;
@@ -76,10 +79,10 @@
   private final double[] zoneSlow;
   private final int ownZone;
 
-  /** Whether discovery was heard: starts that are news after that have just come about. */
+  /** Whether a list was received from discovery; start times that are new afterwards are recent. */
   private boolean listHeard;
 
-  /** The hosts that are up, in the order of their hashes: the same at every gateway. */
+  /** The hosts that are up, sorted by hash: the same order at every gateway. */
   final List<Host> ring = new ArrayList<>();
 
   HostTable(Settings settings, ColdStart coldStart) {
@@ -121,19 +124,19 @@
         ring.add(h);
       }
     }
-    // Hosts come under ever new ids; one that has gone stays only for what is still out on it.
+    // Hosts return under new ids, so a removed one is kept only while it has attempts in flight.
     byId.values().removeIf(h -> h.availability == Availability.REMOVED && h.inFlight == 0);
     all = byId.values().toArray(Host[]::new);
     ring.sort(Comparator.comparingLong((Host h) -> h.hash).thenComparing(h -> h.id));
   }
 
-  /** Whether a host seems to hang: known before its first time-out, over with any answer. */
+  /** Whether a host seems to hang: shows before its first timeout and ends with any response. */
   boolean isQuiet(Host h, Pending p, double now) {
     double since = Math.max(h.heardAt, h.busySince);
     return h.inFlight > h.longs && now - since > QUIET_PART * p.type.targetLatencyMs();
   }
 
-  /** Learns from one attempt that ended. */
+  /** Updates the statistics of a host with a finished attempt, and ejects the host if needed. */
   void learn(Host h, Pending p, Pending.Attempt a, Result result, double elapsedMs, double now) {
     h.age(now, MEMORY_MS);
     if (result == Result.CANCELLED || result == Result.NOT_SENT) {
@@ -161,7 +164,7 @@
           && h.heardAt <= a.sentAt()
           && !a.isLong()
           && elapsedMs >= p.type.targetLatencyMs()) {
-        // Not a word all that time, to nobody: it hangs, and an empty count would draw in more.
+        // No response to any request in that time: it hangs, and its low count would attract more.
         h.ejections = 0;
         eject(h, share, now);
       } else if (h.failures >= EJECT_FAILURES && h.failures > h.attempts * EJECT_RATE) {
@@ -193,12 +196,12 @@
     h.slowCount++;
   }
 
-  /** Log of how much slower the hosts of a zone answer than the fastest zone's, kinds set apart. */
+  /** Log of how much slower a zone is than the fastest one, adjusted for hardware types. */
   double zoneGap(int zone) {
     return zoneSlow[zone] - Arrays.stream(zoneSlow).min().orElse(0);
   }
 
-  /** Log of how much slower than the mean this host seems: its kind's, bent by its own outcomes. */
+  /** Log slowness of a host: the mean of its hardware type, adjusted by its own outcomes. */
   double slowness(Host h) {
     return kindSlow[h.kind] + h.slowSum / (h.slowCount + PRIOR_OUTCOMES);
   }
@@ -208,7 +211,8 @@
     if (ejected < share * ring.size()) {
       h.ejectedUntil = now + EJECT_MS * (1 << Math.min(h.ejections, EJECT_DOUBLINGS));
       h.ejections = Math.min(h.ejections + 2, EJECT_DOUBLINGS);
-      // Half-open: on return one more failure is enough, or the scan would send it a burst.
+      // Half-open: after the ejection one more failure suffices; otherwise the scan would send a
+      // burst to it.
       h.failures = EJECT_FAILURES / 2;
     }
   }
--- a/src/main/java/ternscale/policy/LcStarBalancer.java
+++ b/src/main/java/ternscale/policy/LcStarBalancer.java
@@ -17,19 +17,19 @@
 import ternscale.api.Settings.Effect;
 
 /**
- * The life of a request under LC*: hold, send, retry, end. Every send passes {@link #send}, which
- * checks the four rules; every final answer passes {@link #end}.
+ * Handles requests under LC*: hold, send, retry, end. Every send goes through {@link #send}, which
+ * checks the four rules; every rejection or failure goes through {@link #end}.
  */
 public final class LcStarBalancer implements Balancer {
   private static final long HOLD_TIMER = 2;
 
-  /** Recent hints from which the cutoff is taken. */
+  /** Number of recent cost hints from which the cutoff for long requests is computed. */
   private static final int CUTOFF_SAMPLE = 512;
 
-  /** Share of requests above the cutoff: the paper's marked under 3 percent as long. */
+  /** Share of requests above the cutoff: the paper marks under 3 percent as long. */
   private static final double LONG_SHARE = 0.03;
 
-  /** A long one waits this part of its aim; the paper lets it wait without end. */
+  /** A long request waits this fraction of its target; in the paper it waits indefinitely. */
   private static final double LONG_WAIT = 0.1;
 
   private Settings settings;
@@ -83,7 +83,7 @@
     }
     if (now - sweptAt > hosts.lingerMs / 4) {
       sweptAt = now;
-      // Incident i59fa1d: no host of use left, as idle connections had filled their tables.
+      // Incident i59fa1d: idle connections filled the hosts' tables, until no host was usable.
       for (Host h : hosts.ring) {
         if (h.connectedAt > 0 && h.inFlight == 0 && now - h.connectedAt > hosts.lingerMs) {
           h.connectedAt = 0;
@@ -124,7 +124,7 @@
     h.longs -= a.isLong() ? 1 : 0;
     double elapsedMs = outcome.elapsedMs() - outcome.gatewayDelayMs();
     hosts.learn(h, p, a, outcome.result(), elapsedMs, now);
-    // Where most of the time was lost in this process, it says nothing of the hosts.
+    // An outcome delayed mostly within this process does not reflect the state of the hosts.
     boolean ofHosts = h.ejectedUntil <= now && elapsedMs >= outcome.gatewayDelayMs();
     boolean ofLoad = ofHosts && h.rejections <= HostTable.EJECT_REJECTIONS;
     if (!p.ended && !p.isLong && ofLoad) {
@@ -193,7 +193,7 @@
     closed = true;
   }
 
-  /** Sends the request where LC* says, or holds it, or ends it when nothing more may be tried. */
+  /** Sends a request to the LC* choice, or holds it, or ends it if no attempt is permitted. */
   private void place(Pending p, double now) {
     if (p.attempts >= settings.limits().maxAttempts()
         || (p.type.effect() == Effect.ONCE && p.anyMayHaveRun())
@@ -222,7 +222,7 @@
     }
   }
 
-  /** Past this nothing is worth starting; what waited to be read waits as long to be answered. */
+  /** Latest useful start; the response is assumed to be delayed as long as reading was. */
   private double giveUpAt(Pending p) {
     double last = p.info.deadline() - 2 * settings.tickMs();
     return p.type.lateValueFactor() > 0
@@ -230,7 +230,7 @@
         : Math.min(last, p.aimAt() - settings.tickMs() - p.info.readDelayMs());
   }
 
-  /** The four rules, for one request and one host. */
+  /** Checks the four rules for one request and one host. */
   private boolean maySend(Pending p, Host h, double now) {
     return h.availability == Availability.UP
         && h.ejectedUntil <= now
--- a/src/main/java/ternscale/policy/Membership.java
+++ b/src/main/java/ternscale/policy/Membership.java
@@ -7,22 +7,28 @@
 import ternscale.api.Settings.Discovery;
 
 /**
- * Follows the list. Where discovery speaks only when asked, it is one slow service for every
- * gateway: the first calls are spread by the gateway's own number, later ones back off with jitter.
+ * Subscribes to the host list. Where discovery answers only on request, it is one slow service that
+ * all gateways share: the first calls are spread by gateway index, later ones back off with jitter.
  */
 final class Membership {
   static final long TIMER = 1;
 
-  /** Part of the permitted silence over which the fleet spreads its first calls. */
+  /** Fraction of the maximum poll interval over which the fleet spreads its first calls. */
   private static final double SPREAD = 0.8;
 
-  /** Longest back-off after a first failure, as a part of the permitted silence; it doubles. */
+  /** Longest back-off after a first failure, as a fraction of that interval; it doubles. */
   private static final double BACK_OFF = 0.15;
 
-  /** Told 6 s after discovery could be reached: the call that failed and the next wait 2 s each. */
+  /**
+   * A change has to be received 6 s after discovery becomes reachable; the failed call and the next
+   * one may wait for 2 s each.
+   */
   static final double MOST_BACK_OFF_MS = 1_500;
 
-  /** Told 6 s after the begin of silence: it shows after 2.5 s, and the next call waits 2 s. */
+  /**
+   * A change has to be received 6 s after discovery becomes unresponsive, which is detected after
+   * 2.5 s; the next call may wait for 2 s.
+   */
   static final double UNHEARD_MS = 1_000;
 
   private final Settings settings;
@@ -56,8 +62,8 @@
     if (update.kind().hasEntries()) {
       failures = 0;
     } else if (settings.discovery() == Discovery.ON_REQUEST) {
-      // A failure names no call: whether ours failed or the watch broke, ask again later; also
-      // where a first call is still to come, which may be minutes off.
+      // A failure does not say whether a call or the subscription failed: call again later. This
+      // also holds while the first call is still scheduled, which may be minutes away.
       failures = silent ? failures : Math.min(failures + 1, 4);
       double most =
           BACK_OFF * settings.rules().maxPollIntervalMs() * (1 << Math.max(0, failures - 1));
--- a/src/main/java/ternscale/policy/Pending.java
+++ b/src/main/java/ternscale/policy/Pending.java
@@ -7,9 +7,9 @@
 import ternscale.api.Settings.Effect;
 import ternscale.api.Settings.RequestClass;
 
-/** A request this gateway still owes an answer, or whose attempts are still out. */
+/** A request that awaits its final response or has attempts in flight. */
 final class Pending {
-  /** One attempt that is still out. */
+  /** One attempt in flight. */
   record Attempt(int number, Host host, double sentAt, boolean isLong) {}
 
   final RequestInfo info;
@@ -22,7 +22,7 @@
   boolean ended;
   boolean held;
 
-  /** Rule 2: the earliest attempt that may have run, or none; it binds every later send. */
+  /** Rule 2: the earliest attempt that may have run, or null; it restricts every later send. */
   private Attempt ran;
 
   Pending(RequestInfo info, RequestClass type, double readAt, boolean isLong) {
@@ -41,7 +41,7 @@
     return type.value() * work();
   }
 
-  /** The time an answer may take to be worth its full worth. */
+  /** Latency up to which a response has its full value. */
   double aimMs() {
     return type.targetLatencyMs() + type.targetLatencyPerCostMs() * info.costHint();
   }
@@ -50,7 +50,7 @@
     return Math.min(arrivedAt + aimMs(), info.deadline());
   }
 
-  /** Notes an attempt that ended without proof that it never ran. */
+  /** Records an attempt that ended without proof that it never ran. */
   void mayHaveRun(Attempt a) {
     ran = ran == null || a.sentAt < ran.sentAt ? a : ran;
   }
@@ -59,7 +59,7 @@
     return ran != null || !out.isEmpty();
   }
 
-  /** Rule 2, no effect twice: whether one more attempt may go to this host now. */
+  /** Rule 2 (no effect twice): whether another attempt may be sent to this host now. */
   boolean effectAllows(Host h, double now, double marginMs) {
     if (type.effect() == Effect.REPEATABLE || !anyMayHaveRun()) {
       return true;
@@ -78,7 +78,7 @@
         || (type.dedupScope() == DedupScope.CELL && first.host.cell == h.cell);
   }
 
-  /** Rule 2: a refusal promises that a new try is harmless. */
+  /** Rule 2: a rejection guarantees that a retry by the client has no second effect. */
   boolean mayRefuse() {
     return type.effect() == Effect.REPEATABLE
         || !anyMayHaveRun()
--- a/src/main/java/ternscale/policy/Selector.java
+++ b/src/main/java/ternscale/policy/Selector.java
@@ -9,51 +9,51 @@
 import ternscale.api.Settings;
 
 /**
- * The LC* scan: every host is looked at, the fewest own requests in flight win. Ties go to the
- * hosts the key hashes to, where hosts remember keys (weighted rendezvous hashing), elsewhere to
- * the own part of the fleet, whose connections stay open and whose outcomes are many enough to
- * learn from. What is left is drawn at random, weighted by what a host seems able to bear.
+ * The LC* scan over all hosts: the fewest requests in flight from this gateway win. Where hosts
+ * cache by key, ties go to the hosts that the key maps to (weighted rendezvous hashing), elsewhere
+ * to this gateway's subset of the fleet, whose connections stay open and which yields enough
+ * outcomes to learn from. Remaining ties are broken at random, weighted by estimated capacity.
  */
 final class Selector {
-  /** How strongly seen slowness moves ties away: above 1, as queues grow faster than load. */
+  /** How strongly slowness reduces a draw weight; above 1, as queues grow faster than load. */
   private static final double SLOWNESS_POWER = 1.5;
 
-  /** Draw weights are brought up to date this often; hosts change more slowly than that. */
+  /** Interval at which draw weights are recomputed; hosts change more slowly. */
   private static final double REFRESH_MS = 200;
 
-  /** Own part of the fleet: this many hosts for each request in flight, so that most are idle. */
+  /** Hosts in the subset for each request in flight, so that most of them are idle. */
   private static final double SUBSET_PER_IN_FLIGHT = 3;
 
   private static final int SUBSET_LEAST = 6;
 
-  /** A key gets one more host each time its traffic grows by this part of a host's share. */
+  /** A key gets one more host each time its traffic grows by this fraction of a host's share. */
   private static final double KEY_SHARE_PER_HOST = 0.5;
 
-  /** Where a handshake has a price, one with a connection at rest weighs so much more for a key. */
+  /** Weight factor for a key's host with an idle connection, where handshakes have a cost. */
   private static final double REUSE = 4;
 
-  /** Covers what the last digits of a logarithm may be off. */
+  /** Covers the rounding error of a logarithm. */
   private static final double BELOW_LOG = 1 - 1e-9;
 
-  /** Requests after which the older half of the key counts is dropped. */
+  /** Requests after which the older half of the key counts is discarded. */
   private static final int KEY_WINDOW = 1_000;
 
-  /** Where crossing is priced, a host of another zone counts as holding this many more of ours. */
+  /** Requests in flight added to the count of a host in another zone, per cost of crossing. */
   private static final double CROSSING_PER_POINT = 20;
 
-  /** Cheaper than this, what crossing saves by even load is worth more (bc-screening). */
+  /** Below this cost, the even load that crossing permits saves more (site bc-screening). */
   private static final double CHEAP = 0.02;
 
-  /** One that holds more has a queue. */
+  /** A host of the own zone with more requests in flight has a queue. */
   private static final double MOST_CROSSING = 2;
 
-  /** Part chosen regardless of zones, to learn how the others fare. */
+  /** Share of requests that ignores zones, to keep learning the slowness of other zones. */
   private static final double EXPLORE = 0.01;
 
-  /** At this log of slowness against the fastest zone, the own zone has no more than its due. */
+  /** Log slowness relative to the fastest zone from which the own zone is no longer preferred. */
   private static final double ZONE_GAP = 0.5;
 
-  /** The golden ratio spreads gateway numbers evenly round the ring whatever their order means. */
+  /** Multiples of the golden ratio spread gateway indexes evenly around the ring. */
   private static final double GOLDEN = 0.6180339887498949;
 
   private final HostTable hosts;
@@ -80,7 +80,7 @@
     mostCrossing = settings.hostsCacheByKey() ? 0 : Math.min(MOST_CROSSING, Math.max(0, priced));
   }
 
-  /** Notes a request, its key and how many are in flight. */
+  /** Records a request's key and the number of requests in flight. */
   void onRequest(String key, int inFlight) {
     meanInFlight += (inFlight - meanInFlight) * 0.01;
     if (key != null && settings.hostsCacheByKey()) {
@@ -94,8 +94,9 @@
   }
 
   /**
-   * The host for a request, or null if none is ready. A long one passes over hosts with one. Where
-   * hosts that win ties are idle the rest need no look, but for cold ones: to be asked counts.
+   * Picks the host for a request, or null if none is ready. A long request skips hosts with a long
+   * one in flight. If the hosts preferred in ties are idle, the others are not scanned, except
+   * while any host is cold: testing whether a cold host is ready updates its budget.
    */
   Host pick(String key, boolean isLong, double now, Predicate<Host> ready) {
     if (now - refreshedAt >= REFRESH_MS) {
@@ -124,7 +125,7 @@
     return byKey ? drawByKey(key, tied, n, fewest, h -> true) : draw(keepSubset(n));
   }
 
-  /** Finds those with the fewest in flight, in their order, and tells how many there are. */
+  /** Collects the hosts with the fewest requests in flight, in order; returns their number. */
   private int scan(Host[] from, int far, boolean isLong, Predicate<Host> ready) {
     fewest = Integer.MAX_VALUE;
     int n = 0;
@@ -165,7 +166,7 @@
     return kept > 0 ? kept : n;
   }
 
-  /** Draws among those with so many in flight that a key hashes to; null for fewer than two. */
+  /** Draws from a key's hosts with this many requests in flight; null if fewer than two are. */
   private Host drawByKey(String key, Host[] from, int size, int inFlight, Predicate<Host> ready) {
     int seen = keysNow.getOrDefault(key, 0) + keysBefore.getOrDefault(key, 0);
     double share = seen / (counted + (keysBefore.isEmpty() ? 1.0 : KEY_WINDOW));
@@ -177,7 +178,7 @@
     for (int i = 0; i < size; i++) {
       Host h = from[i];
       double u = ((mix(keyHash ^ h.hash) >>> 11) + 0.5) * 0x1.0p-53;
-      // As -log u is above 1 - u, most are known not to be among the first without a logarithm.
+      // As -log u > 1 - u, most hosts are ruled out without computing a logarithm.
       double w = h.connectedAt > keptSince ? REUSE * h.drawWeight : h.drawWeight;
       boolean last = n == most && (1 - u) * BELOW_LOG > score[n - 1] * w;
       double s = last ? Double.POSITIVE_INFINITY : -Math.log(u) / w;
