--- a/src/main/java/hazelspoke/core/Dispatcher.java
+++ b/src/main/java/hazelspoke/core/Dispatcher.java
@@ -160,7 +160,7 @@
     for (HostList.Listed host : update.hosts()) {
       HostEntry entry = host.entry();
       entries.add(entry);
-      if (entry.availability() == Availability.REMOVED) {
+      if (entry.availability() == Availability.GONE) {
         hosts.forget(entry.host());
       } else if (host.address() != null) {
         HostEntry displaced = hosts.setAddress(entry, host.address());
@@ -170,7 +170,7 @@
       }
     }
     // Its address has another host now, whatever the list says of it yet.
-    gone.forEach(entry -> entries.add(entry.withAvailability(Availability.REMOVED)));
+    gone.forEach(entry -> entries.add(entry.withAvailability(Availability.GONE)));
     if (kind == MembersUpdate.Kind.FULL) {
       hosts.keepOnly(entries.stream().map(HostEntry::host).collect(Collectors.toSet()));
     }
@@ -215,7 +215,7 @@
 
   /** A call to discovery failed; whether because nothing was heard. */
   public void onDiscoveryFailed(boolean silent) {
-    MembersUpdate.Kind kind = silent ? MembersUpdate.Kind.UNRESPONSIVE : MembersUpdate.Kind.FAILED;
+    MembersUpdate.Kind kind = silent ? MembersUpdate.Kind.SILENT : MembersUpdate.Kind.FAILED;
     onMembers(kind, new HostList.Update(false, 0, List.of()));
   }
 
@@ -264,7 +264,7 @@
       exchanges.remove(x.id);
     }
     List<Double> report =
-        settings.reportMode() == Settings.ReportMode.WITH_RESPONSES
+        settings.reportMode() == Settings.ReportMode.WITH_ANSWERS
             ? names.report(loadReport)
             : List.of();
     double elapsedMs = attempt.elapsedMs();
--- a/src/main/java/hazelspoke/discovery/HostListJson.java
+++ b/src/main/java/hazelspoke/discovery/HostListJson.java
@@ -64,7 +64,7 @@
     return switch (status.text("")) {
       case "Ready" -> Availability.UP;
       case "Terminating" -> Availability.DRAINING;
-      case "Gone" -> Availability.REMOVED;
+      case "Gone" -> Availability.GONE;
       default -> throw status.error("has an unknown value");
     };
   }
--- a/src/main/java/ternscale/adapter/SettingsReader.java
+++ b/src/main/java/ternscale/adapter/SettingsReader.java
@@ -125,7 +125,7 @@
   private static Settings.ReportMode reportMode(JsonTree how) {
     String word = how.text("silent");
     return switch (word) {
-      case "piggyback" -> Settings.ReportMode.WITH_RESPONSES;
+      case "piggyback" -> Settings.ReportMode.WITH_ANSWERS;
       case "pull" -> Settings.ReportMode.WITH_PROBES;
       case "silent" -> Settings.ReportMode.NONE;
       default -> throw how.error("has the unknown value " + word);
--- a/src/main/java/ternscale/adapter/WireReader.java
+++ b/src/main/java/ternscale/adapter/WireReader.java
@@ -289,7 +289,7 @@
     return switch (word) {
       case "on" -> Availability.UP;
       case "fading" -> Availability.DRAINING;
-      case "off" -> Availability.REMOVED;
+      case "off" -> Availability.GONE;
       default -> throw fail("field availability of an entry has the unknown value " + word);
     };
   }
--- a/src/main/java/ternscale/api/HostEntry.java
+++ b/src/main/java/ternscale/api/HostEntry.java
@@ -15,7 +15,7 @@
   public enum Availability {
     UP,
     DRAINING,
-    REMOVED
+    GONE
   }
 
   public HostEntry {
--- a/src/main/java/ternscale/api/MembersUpdate.java
+++ b/src/main/java/ternscale/api/MembersUpdate.java
@@ -16,11 +16,11 @@
     /** A call or the subscription failed; no entries. */
     FAILED,
     /** A call or the subscription stopped responding, so changes may be missing; no entries. */
-    UNRESPONSIVE;
+    SILENT;
 
     /** Whether an update of this kind carries entries. */
     public boolean hasEntries() {
-      return this != FAILED && this != UNRESPONSIVE;
+      return this != FAILED && this != SILENT;
     }
   }
 
--- a/src/main/java/ternscale/api/Settings.java
+++ b/src/main/java/ternscale/api/Settings.java
@@ -47,7 +47,7 @@
 
   /** How load reports arrive. */
   public enum ReportMode {
-    WITH_RESPONSES,
+    WITH_ANSWERS,
     WITH_PROBES,
     NONE
   }
--- a/src/main/java/ternscale/policy/Host.java
+++ b/src/main/java/ternscale/policy/Host.java
@@ -17,7 +17,7 @@
   /** Start time as listed, by the clock of the list's writer. */
   private double listedStart;
 
-  Availability availability = Availability.REMOVED;
+  Availability availability = Availability.GONE;
 
   /** This gateway's requests in flight: the count that LC* compares. */
   int inFlight;
@@ -81,7 +81,7 @@
    * @return whether the host has restarted
    */
   boolean apply(HostEntry e) {
-    boolean restarted = e.startedAt() != listedStart && e.availability() != Availability.REMOVED;
+    boolean restarted = e.startedAt() != listedStart && e.availability() != Availability.GONE;
     zone = e.zone();
     cell = e.cell();
     kind = e.hardwareType();
--- a/src/main/java/ternscale/policy/HostTable.java
+++ b/src/main/java/ternscale/policy/HostTable.java
@@ -118,14 +118,14 @@
     ring.clear();
     for (Host h : byId.values()) {
       if (update.kind() != MembersUpdate.Kind.DELTA && !named.contains(h.id)) {
-        h.availability = Availability.REMOVED;
+        h.availability = Availability.GONE;
       }
       if (h.availability == Availability.UP) {
         ring.add(h);
       }
     }
     // Hosts return under new ids, so a removed one is kept only while it has attempts in flight.
-    byId.values().removeIf(h -> h.availability == Availability.REMOVED && h.inFlight == 0);
+    byId.values().removeIf(h -> h.availability == Availability.GONE && h.inFlight == 0);
     all = byId.values().toArray(Host[]::new);
     ring.sort(Comparator.comparingLong((Host h) -> h.hash).thenComparing(h -> h.id));
   }
--- a/src/main/java/ternscale/policy/Membership.java
+++ b/src/main/java/ternscale/policy/Membership.java
@@ -58,7 +58,7 @@
   }
 
   void onUpdate(MembersUpdate update) {
-    boolean silent = update.kind() == MembersUpdate.Kind.UNRESPONSIVE;
+    boolean silent = update.kind() == MembersUpdate.Kind.SILENT;
     if (update.kind().hasEntries()) {
       failures = 0;
     } else if (settings.discovery() == Discovery.ON_REQUEST) {
--- a/src/test/java/ternscale/policy/ChurnTest.java
+++ b/src/test/java/ternscale/policy/ChurnTest.java
@@ -29,7 +29,7 @@
               i % 2 == 0 ? Kind.FULL : Kind.DELTA,
               i,
               List.of(
-                  Gateway.host("h" + (i - 1), 0, Availability.REMOVED, 0),
+                  Gateway.host("h" + (i - 1), 0, Availability.GONE, 0),
                   Gateway.host("h" + i, 0, Availability.UP, i))),
           i);
     }
--- a/src/test/java/ternscale/policy/DeparturesTest.java
+++ b/src/test/java/ternscale/policy/DeparturesTest.java
@@ -56,8 +56,8 @@
     serve(g, 400, 20);
     g.members(
         Kind.DELTA,
-        Gateway.host("h0", 0, Availability.REMOVED, 0),
-        Gateway.host("h1", 1, Availability.REMOVED, 0),
+        Gateway.host("h0", 0, Availability.GONE, 0),
+        Gateway.host("h1", 1, Availability.GONE, 0),
         Gateway.host("h2", 0, Availability.UP, g.now),
         Gateway.host("h3", 1, Availability.UP, g.now));
     int before = g.sent.size();
@@ -316,7 +316,7 @@
       Gateway g = new Gateway(Gateway.mustAskIn(mustAskInMs), seed);
       g.hosts(2);
       for (int again = 0; again < 6; again++) {
-        g.members(Kind.UNRESPONSIVE);
+        g.members(Kind.SILENT);
         assertThat(g.timerMs).isBetween(leastMs, TERM_MS - 2_500 - QUEUE_MS - 500);
         delays.add(g.timerMs);
         g.balancer.onTimer(g.now, Membership.TIMER);
@@ -327,7 +327,7 @@
         delays.add(g.timerMs);
         g.balancer.onTimer(g.now, Membership.TIMER);
       }
-      g.members(Kind.UNRESPONSIVE);
+      g.members(Kind.SILENT);
       assertThat(g.timerMs).isBetween(leastMs, TERM_MS - 2_500 - QUEUE_MS - 500);
     }
     assertThat(delays).hasSizeGreaterThan(500);
@@ -335,7 +335,7 @@
 
   /** The first call of a start is spread over minutes here; another's failure is not kept by it. */
   @ParameterizedTest
-  @ValueSource(strings = {"FAILED", "UNRESPONSIVE"})
+  @ValueSource(strings = {"FAILED", "SILENT"})
   void aFailureWhileTheFirstCallIsStillToComeIsFollowedByACallInTime(Kind kind) {
     Gateway g = new Gateway(Gateway.mustAskIn(1_200_000), 7);
     g.hosts(2);
@@ -483,7 +483,7 @@
     for (int i = 0; i < 20; i++) {
       g.now += 300;
       g.request(0, 10);
-      g.members(Kind.DELTA, Gateway.host("h" + i, i % 2, Availability.REMOVED, 0));
+      g.members(Kind.DELTA, Gateway.host("h" + i, i % 2, Availability.GONE, 0));
     }
     g.now += 1_000;
     g.members(
@@ -548,7 +548,7 @@
     g.hosts(6);
     serve(g, 600, 20);
     for (int i = 1; i < 6; i += 2) {
-      g.members(Kind.DELTA, Gateway.host("h" + i, 1, Availability.REMOVED, 0));
+      g.members(Kind.DELTA, Gateway.host("h" + i, 1, Availability.GONE, 0));
     }
     assertThat(serve(g, 250, 20).keySet()).containsOnly("h0", "h2", "h4");
     for (int i = 1; i < 6; i += 2) {
--- a/src/test/java/ternscale/policy/LcStarBalancerTest.java
+++ b/src/test/java/ternscale/policy/LcStarBalancerTest.java
@@ -64,7 +64,7 @@
     g.members(
         Kind.DELTA,
         Gateway.host("h0", 0, Availability.DRAINING, 0),
-        Gateway.host("h1", 1, Availability.REMOVED, 0));
+        Gateway.host("h1", 1, Availability.GONE, 0));
     for (int i = 0; i < 20; i++) {
       g.request(0, 0);
       assertThat(g.lastSent().host()).isEqualTo("h2");
