--- a/src/main/java/ternscale/adapter/JsonTree.java
+++ b/src/main/java/ternscale/adapter/JsonTree.java
@@ -74,7 +74,7 @@
       return new JsonTree(path + "." + key, null);
     }
     if (!(value instanceof Map<?, ?> map)) {
-      throw error("is no object");
+      throw error("is not an object");
     }
     return new JsonTree(path + "." + key, map.get(key));
   }
@@ -84,7 +84,7 @@
       return List.of();
     }
     if (!(value instanceof List<?> list)) {
-      throw error("is no array");
+      throw error("is not an array");
     }
     List<JsonTree> out = new ArrayList<>();
     for (int i = 0; i < list.size(); i++) {
@@ -98,7 +98,7 @@
       return absent;
     }
     if (!(value instanceof Double d) || !Double.isFinite(d)) {
-      throw error("is no number");
+      throw error("is not a number");
     }
     return d;
   }
@@ -106,7 +106,7 @@
   public int integer(int absent) {
     double d = number(absent);
     if (d != (int) d) {
-      throw error("is no whole number");
+      throw error("is not an integer");
     }
     return (int) d;
   }
@@ -116,7 +116,7 @@
       return absent;
     }
     if (!(value instanceof Boolean b)) {
-      throw error("is no boolean");
+      throw error("is not a boolean");
     }
     return b;
   }
@@ -126,7 +126,7 @@
       return absent;
     }
     if (!(value instanceof String s)) {
-      throw error("is no string");
+      throw error("is not a string");
     }
     return s;
   }
--- a/src/main/java/ternscale/adapter/Main.java
+++ b/src/main/java/ternscale/adapter/Main.java
@@ -14,8 +14,8 @@
       """
       usage: java -jar ternscale.jar adapter
 
-      adapter   decide for the instances whose events arrive on standard input,
-                writing their actions to standard output until the input ends
+      adapter   read the events of instances from standard input and write the
+                resulting actions to standard output until the input ends
       """;
 
   private Main() {}
@@ -48,7 +48,7 @@
       err.println("ternscale: " + e.getMessage());
       return 1;
     } catch (IOException e) {
-      err.println("ternscale: cannot go on: " + e.getMessage());
+      err.println("ternscale: I/O error: " + e.getMessage());
       return 1;
     }
   }
--- a/src/main/java/ternscale/api/HostEntry.java
+++ b/src/main/java/ternscale/api/HostEntry.java
@@ -22,7 +22,8 @@
     Objects.requireNonNull(host, "host");
     Objects.requireNonNull(availability, "availability");
     if (!(weight >= 0) || Double.isInfinite(weight)) {
-      throw new IllegalArgumentException("weight of " + host + " must be 0 or more: " + weight);
+      throw new IllegalArgumentException(
+          "weight of " + host + " must be finite and at least 0: " + weight);
     }
   }
 
--- a/src/main/java/ternscale/api/RequestInfo.java
+++ b/src/main/java/ternscale/api/RequestInfo.java
@@ -33,10 +33,10 @@
   public RequestInfo {
     Objects.requireNonNull(id, "id");
     if (!Double.isFinite(deadline)) {
-      throw new IllegalArgumentException("deadline of " + id + " is no time: " + deadline);
+      throw new IllegalArgumentException("deadline of " + id + " is not finite: " + deadline);
     }
     if (!Double.isFinite(costHint)) {
-      throw new IllegalArgumentException("cost hint of " + id + " is no number: " + costHint);
+      throw new IllegalArgumentException("cost hint of " + id + " is not finite: " + costHint);
     }
   }
 }
--- a/src/main/java/ternscale/api/Settings.java
+++ b/src/main/java/ternscale/api/Settings.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.Objects;
 
-/** The settings of a gateway. All times are in milliseconds. */
+/**
+ * The settings of a gateway. All times are in milliseconds. Errors name the keys of the settings'
+ * outer form, as operators write them.
+ */
 public record Settings(
     int instanceIndex,
     int instanceCount,
@@ -93,8 +96,8 @@
     public RequestClass {
       Objects.requireNonNull(effect, "effect");
       Objects.requireNonNull(dedupScope, "group");
-      require(targetLatencyMs > 0, "aim must be above 0", targetLatencyMs);
-      require(deadlineMs > 0, "deadline must be above 0", deadlineMs);
+      require(targetLatencyMs > 0, "aim must be positive", targetLatencyMs);
+      require(deadlineMs > 0, "hard_limit must be positive", deadlineMs);
       require(value >= 0, "worth must not be negative", value);
       require(dedupWindowMs >= 0, "window must not be negative", dedupWindowMs);
     }
@@ -103,8 +106,8 @@
   /** A tenant and its share of the service; a {@code quotaRps} of 0 means no quota. */
   public record Tenant(double share, double quotaRps) {
     public Tenant {
-      require(share >= 0, "tenant share must not be negative", share);
-      require(quotaRps >= 0, "tenant quota must not be negative", quotaRps);
+      require(share >= 0, "share of a tenant must not be negative", share);
+      require(quotaRps >= 0, "quota_rps of a tenant must not be negative", quotaRps);
     }
   }
 
@@ -121,7 +124,7 @@
       double idleConnectionMs,
       int requestsPerConnection) {
     public Limits {
-      require(maxAttempts >= 1, "at least one attempt must be allowed", maxAttempts);
+      require(maxAttempts >= 1, "send_cap must be at least 1", maxAttempts);
     }
   }
 
@@ -146,11 +149,11 @@
     public Rules {
       require(
           initialCapacityShare > 0 && initialCapacityShare <= 1,
-          "cold share must lie in (0, 1]",
+          "cold_from must be in (0, 1]",
           initialCapacityShare);
-      require(slowStartMs >= 0, "cold time must not be negative", slowStartMs);
-      require(overloadMultiple > 0, "fall multiple must be above 0", overloadMultiple);
-      require(overloadMs >= 0, "fall time must not be negative", overloadMs);
+      require(slowStartMs >= 0, "cold must not be negative", slowStartMs);
+      require(overloadMultiple > 0, "fall_multiple must be positive", overloadMultiple);
+      require(overloadMs >= 0, "fall must not be negative", overloadMs);
     }
   }
 
@@ -163,18 +166,18 @@
       double overall, double worstWindow, double worstClass, double worstTenant) {}
 
   public Settings {
-    require(instanceCount >= 1, "instances must be 1 or more", instanceCount);
+    require(instanceCount >= 1, "instances must be at least 1", instanceCount);
     require(
         instanceIndex >= 0 && instanceIndex < instanceCount,
-        "own number must lie below " + instanceCount,
+        "me must be from 0 to below " + instanceCount,
         instanceIndex);
-    require(zoneCount >= 1, "zones must be 1 or more", zoneCount);
-    require(zone >= 0 && zone < zoneCount, "own zone must lie below " + zoneCount, zone);
-    require(tickMs >= 0, "tick must not be negative", tickMs);
+    require(zoneCount >= 1, "number of areas must be at least 1", zoneCount);
+    require(zone >= 0 && zone < zoneCount, "az must be from 0 to below " + zoneCount, zone);
+    require(tickMs >= 0, "quantum must not be negative", tickMs);
     classes = List.copyOf(classes);
     tenants = List.copyOf(tenants);
     reportFields = List.copyOf(reportFields);
-    require(!classes.isEmpty(), "at least one request class is needed", 0);
+    require(!classes.isEmpty(), "at least one request class is required", 0);
     Objects.requireNonNull(discovery, "discovery");
     Objects.requireNonNull(limits, "limits");
     Objects.requireNonNull(rules, "rules");
--- a/src/main/java/ternscale/policy/LcStarBalancer.java
+++ b/src/main/java/ternscale/policy/LcStarBalancer.java
@@ -79,7 +79,7 @@
     noteHint(request.costHint());
     Pending p = new Pending(request, settings.classes().get(c), now, request.costHint() >= cutoff);
     if (requests.putIfAbsent(request.id(), p) != null) {
-      throw new IllegalArgumentException("request id used before: " + request.id());
+      throw new IllegalArgumentException("duplicate request id: " + request.id());
     }
     if (now - sweptAt > hosts.lingerMs / 4) {
       sweptAt = now;
@@ -320,7 +320,7 @@
 
   private void checkOpen() {
     if (closed) {
-      throw new IllegalStateException("event for a closed balancer");
+      throw new IllegalStateException("the balancer is closed");
     }
   }
 }
