--- a/src/test/java/ternscale/adapter/WireTest.java
+++ b/src/test/java/ternscale/adapter/WireTest.java
@@ -14,7 +14,7 @@
 import ternscale.api.Actions;
 import ternscale.api.Settings;
 
-/** Every event, outcome, settings key and action of the dialect. */
+/** Covers every event, outcome, settings key and action of the wire protocol. */
 class WireTest {
   private static final String EOB = "{\"msg\":\"Eob\"}\n";
 
@@ -65,7 +65,7 @@
     return r.out().lines().toList();
   }
 
-  /** What the second batch is answered with, after one request was sent in the first. */
+  /** The reply to the second batch, after one request was sent in the first. */
   private static List<String> replyTo(String effect, String secondBatch) {
     String first = mark(1, 100) + open(effect) + members("cached", "a:1", "on") + call("q") + EOB;
     List<String> lines =
--- a/src/test/java/ternscale/policy/ChoicesTest.java
+++ b/src/test/java/ternscale/policy/ChoicesTest.java
@@ -24,10 +24,10 @@
 import ternscale.api.Settings.RequestClass;
 
 /**
- * Every choice, request by request, of streams of events in which hosts come, go, drain, start
- * again, hang, err and turn requests away; cold when they come back, or not, as while any host is
- * cold all are asked. The digests were made when each choice was a scan of all hosts (commit
- * 5422377); whatever makes a choice cheaper must choose the same.
+ * Guards against optimizations of the selector that change its choices. The event streams add,
+ * remove, drain and restart hosts, and hosts hang, fail and reject requests. Hosts return cold in
+ * some streams and warm in others, as every host is scanned while any is cold. The digests are
+ * those of a selector that scanned all hosts for each request (commit 5422377).
  */
 class ChoicesTest {
   private static final int STEPS = 8_000;
@@ -72,7 +72,7 @@
     for (int i = 0; i < STEPS; i++) {
       stream.step();
     }
-    assertThat(stream.gateway.sent).as("enough to tell by").hasSizeGreaterThan(STEPS / 5);
+    assertThat(stream.gateway.sent).as("enough sends to compare").hasSizeGreaterThan(STEPS / 5);
     assertThat(digest(stream.gateway.log)).as("seed %d", seed).isEqualTo(digest);
   }
 
@@ -82,7 +82,7 @@
     return HexFormat.of().formatHex(sha.digest(), 0, 8);
   }
 
-  /** What happens round one gateway, drawn from a seed. */
+  /** Random events at one gateway, generated from a seed. */
   private static final class Stream {
     private final Gateway gateway;
     private final Random random;
@@ -145,7 +145,7 @@
           gateway.now, new RequestInfo(id, type, 0, deadline, hint, key, type < 2, again));
     }
 
-    /** An attempt ends, of a host that hangs only by a time-out. */
+    /** Ends a random attempt; attempts at a hung host end only by a timeout. */
     private void outcome() {
       if (out.isEmpty()) {
         return;
@@ -203,7 +203,7 @@
           case "refuse", "fail" -> ended.add(words[1]);
           case "timer" -> timer = true;
           default -> {
-            // Of a send the next loop takes the rest; a cancelled attempt ends as any other.
+            // Sends are processed by the next loop; a cancelled attempt ends like any other.
           }
         }
       }
--- a/src/test/java/ternscale/policy/ChurnTest.java
+++ b/src/test/java/ternscale/policy/ChurnTest.java
@@ -14,7 +14,7 @@
 import ternscale.api.Settings.Discovery;
 import ternscale.api.Settings.Effect;
 
-/** Hosts under ever new ids. */
+/** Hosts that are replaced under new ids. */
 class ChurnTest {
   private static final Settings SETTINGS =
       Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.BY_KEY, DedupScope.ALL));
@@ -45,7 +45,7 @@
     g.members(Kind.FULL);
     g.members(Kind.DELTA, Gateway.host("other", 0, Availability.UP, 0));
     g.outcome(g.sent.get(0), Result.RESET, 15, false);
-    // The other one is tried: what the first left behind is no obstacle.
+    // The request is retried on the other host, although the first one is no longer listed.
     assertThat(g.lastSent().host()).isEqualTo("other");
   }
 }
--- a/src/test/java/ternscale/policy/DeparturesTest.java
+++ b/src/test/java/ternscale/policy/DeparturesTest.java
@@ -19,12 +19,12 @@
 import ternscale.api.Settings.Discovery;
 import ternscale.api.Settings.Effect;
 
-/** Each departure from LC*, and the failure it guards against, on the module alone. */
+/** Each extension of LC*, and the failure that it guards against, at a single balancer. */
 class DeparturesTest {
   private static final Settings REPEATABLE =
       Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
 
-  /** Serves requests one at a time for a while and counts them by host. */
+  /** Serves requests one at a time and counts them by host. */
   private static TreeMap<String, Integer> serve(Gateway g, int n, double gapMs) {
     TreeMap<String, Integer> byHost = new TreeMap<>();
     for (int i = 0; i < n; i++) {
@@ -43,7 +43,7 @@
     serve(g, 400, 20);
     g.members(Kind.DELTA, Gateway.host("h3", 1, Availability.UP, g.now));
     TreeMap<String, Integer> byHost = serve(g, 100, 20);
-    // A fifth to two fifths of a warm host's share of 25 in the first 2 s, a little slack added.
+    // A fifth to two fifths of a warm host's share of 25 in the first 2 s, with some slack.
     assertThat(byHost.getOrDefault("h3", 0)).isLessThanOrEqualTo(14);
     g.now += 20_000;
     assertThat(serve(g, 100, 20).get("h3")).isGreaterThan(14);
@@ -71,7 +71,7 @@
         g.outcome(g.sent.get(before++), Result.OK, 15, true);
       }
     }
-    // Cold for 10 s at 20% up, two of four hosts: about a quarter of the traffic can be served.
+    // Two of four hosts, cold for 10 s from 20% up: about a quarter of the traffic can be served.
     long sent = g.sent.size() - 400;
     assertThat(sent).isBetween(60L, 260L);
   }
@@ -139,8 +139,7 @@
   }
 
   /**
-   * Answers late while more than a part of the requests is taken, and counts what is refused of the
-   * classes 0 and 1.
+   * Serves at most this part of the requests in time, and counts the rejections of classes 0 and 1.
    */
   private static int[] jam(Gateway g, int requests, double borne) {
     g.hosts(4);
@@ -160,14 +159,14 @@
     return refused;
   }
 
-  /** Incident i4d927b: hosts that turned all away at once drew a fifth of the sends. */
+  /** Incident i4d927b: hosts that rejected everything at once attracted a fifth of the sends. */
   @Test
   void aHostThatTurnsAllAwayIsLeftOutButOneThatServesInBetweenIsNot() {
     assertThat(sentToAFullHost(0)).isLessThan(12);
     assertThat(sentToAFullHost(3)).isGreaterThan(100);
   }
 
-  /** How many of 600 requests reach one of four hosts that serves each so-manieth, if any. */
+  /** Sends, for 600 requests, to one of four hosts, which serves every n-th of them or none. */
   private static int sentToAFullHost(int servesEach) {
     Gateway g = new Gateway(REPEATABLE, 3);
     g.hosts(4);
@@ -187,7 +186,7 @@
     return sent;
   }
 
-  /** The part of 2,000 requests that crosses, one at a time, when the own zone takes so long. */
+  /** Share of 2,000 sequential requests sent to the other zone, given the zones' latencies. */
   private static double crossed(double price, double ownMs, double otherMs) {
     Gateway g =
         new Gateway(Gateway.crossing(price, Gateway.type(Effect.REPEATABLE, DedupScope.ALL)), 7);
@@ -203,7 +202,7 @@
     return crossed / 2_000.0;
   }
 
-  /** Quiet days at records-cardiff: half of all crossed, which cost nearly all that was lost. */
+  /** Low load at site records-cardiff: half of the requests crossed, nearly the whole loss. */
   @Test
   void theOwnZoneComesFirstWhereCrossingIsPricedAndTheOwnZoneIsNotSlower() {
     assertThat(crossed(0, 20, 20)).isBetween(0.3, 0.7);
@@ -211,7 +210,7 @@
     assertThat(crossed(0.12, 60, 20)).isGreaterThan(0.3);
   }
 
-  /** Overload at records-cardiff: the goal weighs the class served worst, all of which was shed. */
+  /** Overload at site records-cardiff: all of the class that the objective weights was shed. */
   @Test
   void theCheapClassIsSparedAsFarAsTheGoalWeighsTheClassServedWorst() {
     Settings.RequestClass cheap = worth(1);
@@ -239,7 +238,7 @@
         served += i >= 1_000 ? 1 : 0;
       }
     }
-    assertThat(served).as("all is taken on again once answers are in time").isEqualTo(1_000);
+    assertThat(served).as("requests accepted once responses are in time again").isEqualTo(1_000);
   }
 
   @Test
@@ -295,17 +294,19 @@
     assertThat(g.log.stream().filter("watch true"::equals)).hasSize(2);
   }
 
-  /** Within which a change counts as told, and what a call may wait in discovery's queue. */
+  /** Time within which a change has to be received. */
   private static final double TERM_MS = 6_000;
 
+  /** Maximum time of a call in discovery's queue. */
   private static final double QUEUE_MS = 2_000;
 
   /**
-   * What a silent watch misses counts as told 6 s after it fell silent. It shows after 2.5 s and a
-   * call may wait for 2 s. Whatever else fails, a change counts 6 s after discovery could be
-   * reached: a call that fails just then may have waited for 2 s, as the next one may. The next
-   * call is within what is left of that, whatever the settings say and however often it failed, and
-   * not sooner than a part of it, so that a fleet's stay few and spread.
+   * Changes missed by an unresponsive subscription have to be received 6 s after it stopped
+   * responding, which is detected after 2.5 s, and a call may wait for 2 s. After other failures
+   * the limit is 6 s after discovery becomes reachable: the call that fails then may have waited
+   * for 2 s, and so may the next one. The next call has to be within the remaining time for any
+   * settings and number of failures, and not too early, so that the calls of a fleet stay few and
+   * spread out.
    */
   @ParameterizedTest
   @ValueSource(doubles = {500, 5_000, 10_000, 30_000, 120_000, 1_200_000})
@@ -333,7 +334,7 @@
     assertThat(delays).hasSizeGreaterThan(500);
   }
 
-  /** The first call of a start is spread over minutes here; another's failure is not kept by it. */
+  /** The first call is spread over minutes here; a failure before it must not wait for it. */
   @ParameterizedTest
   @ValueSource(strings = {"FAILED", "SILENT"})
   void aFailureWhileTheFirstCallIsStillToComeIsFollowedByACallInTime(Kind kind) {
@@ -344,7 +345,7 @@
     assertThat(g.timerMs).isLessThanOrEqualTo(TERM_MS - 2 * QUEUE_MS);
     g.balancer.onTimer(g.now, Membership.TIMER);
     assertThat(g.log.stream().filter("watch true"::equals)).hasSize(1);
-    // The timer of the first call comes too, as none can be taken back, and finds nothing to do.
+    // The timer of the first call still expires, as timers cannot be cancelled, and has no effect.
     g.balancer.onTimer(g.now, Membership.TIMER);
     assertThat(g.log.stream().filter("watch true"::equals)).hasSize(1);
   }
@@ -379,7 +380,7 @@
     assertThat(g.log).doesNotContain("closeIdle " + busy.host());
   }
 
-  /** Refusals among 400 requests that all take this part of their aim, after 200 usual ones. */
+  /** Rejections among 400 requests of the second latency, after 200 requests of the first. */
   private static long refusedWhenTaking(double usualMs, double thenMs) {
     Gateway g = new Gateway(REPEATABLE, 3);
     g.hosts(4);
@@ -400,7 +401,7 @@
     assertThat(refusedWhenTaking(260, 300)).isZero();
   }
 
-  /** Refusals while seven answers in 25 are late, from clients that do or do not repeat. */
+  /** Rejections while seven responses in 25 are late, for clients that do or do not retry. */
   private static long refusedWhileSomeAreLate(boolean repeats) {
     Settings marked =
         Gateway.settings(
@@ -420,7 +421,7 @@
     return g.refusals();
   }
 
-  /** Refusals while all answers come late, for so long of it by the gateway's own fault. */
+  /** Rejections while all responses are late, with this much of it caused by the gateway. */
   private static long refusedWhileBehind(double ownMs) {
     Gateway g = new Gateway(REPEATABLE, 3);
     g.hosts(4);
@@ -474,7 +475,7 @@
     }
   }
 
-  /** Incident L45fba6: the last hosts of a vanishing fleet seemed to bear what all had borne. */
+  /** Incident L45fba6: the load of a removed fleet was attributed to its last hosts. */
   @Test
   void aFleetThatReturnsAfterItVanishedIsNotRushed() {
     Gateway g = new Gateway(REPEATABLE, 3);
@@ -496,11 +497,11 @@
       g.request(0, 10);
       g.balancer.onTimer(g.now, 2);
     }
-    // A warm host had 10 requests a second; two cold ones for 2 s, at 1.05 x a fifth to two fifths.
+    // A warm host served 10 requests/s; two cold ones for 2 s, at 1.05 x a fifth to two fifths.
     assertThat(g.sent.size() - before).isBetween(4, 20);
   }
 
-  /** Serves requests one at a time until one goes to this host, and leaves that one out. */
+  /** Serves requests one at a time until one goes to this host, and leaves that one in flight. */
   private static Gateway.Sent leaveOneAt(Gateway g, String host) {
     for (int i = 0; i < 200; i++) {
       g.now += 5;
@@ -510,7 +511,7 @@
       }
       g.outcome(g.lastSent(), Result.OK, 15, true);
     }
-    throw new AssertionError(host + " is not tried again");
+    throw new AssertionError(host + " receives no more requests");
   }
 
   @Test
@@ -522,7 +523,7 @@
       g.request(0, i % 30 == 0 ? 100 : 10);
       g.outcome(g.lastSent(), Result.OK, 15, true);
     }
-    // After a quiet minute little of that is left as evidence, as at a gateway of a large bank.
+    // An idle minute decays the statistics, as at a gateway of a large fleet.
     g.now += 60_000;
     g.request(0, 1_000);
     Gateway.Sent hung = g.lastSent();
@@ -534,7 +535,7 @@
     }
     g.now += 1_500;
     g.outcome(hung, Result.TIMEOUT, 1_900, true);
-    // One time-out may be a long request: the host is tried again, as its flag is free.
+    // One timeout may come from a long request: the host is used again, as its flag is clear.
     g.outcome(leaveOneAt(g, hung.host()), Result.OK, 15, true);
     g.outcome(leaveOneAt(g, hung.host()), Result.TIMEOUT, 1_900, true);
     assertThat(serve(g, 50, 20)).doesNotContainKey(hung.host());
@@ -555,7 +556,7 @@
       g.members(Kind.DELTA, Gateway.host("h" + i, 1, Availability.UP, g.now));
     }
     TreeMap<String, Integer> first = serve(g, 100, 20);
-    // Warm hosts bore a third of 50 a second in between: at most 1.05 x 0.2 to 0.36 of it for 2 s.
+    // Warm hosts served a third of 50/s in between: at most 1.05 x 0.2 to 0.36 of it for 2 s.
     for (int i = 1; i < 6; i += 2) {
       assertThat(first.getOrDefault("h" + i, 0)).isLessThanOrEqualTo(12);
     }
@@ -573,7 +574,7 @@
       g.now += 20;
       g.request(0, 10);
       boolean pauses = g.lastSent().host().equals("h1");
-      // Every other second h1 takes 15 times as long; idle in between, its count would draw ties.
+      // Every other second h1 takes 15 times as long; in between its low count would win ties.
       boolean pause = i / 50 % 2 == 1;
       g.outcome(g.lastSent(), Result.OK, pauses && pause ? 225 : 15, true);
       paused += i >= 200 && !pause && pauses ? 1 : 0;
@@ -592,7 +593,7 @@
       g.now += 20;
       g.request(0, 10);
       g.request(0, 10);
-      // The second would go to the silent one by its count alone: both hold one then.
+      // By its count alone, the second would go to the hung host: both have one in flight then.
       Gateway.Sent[] two = {g.sent.get(g.sent.size() - 2), g.lastSent()};
       for (Gateway.Sent s : two) {
         if (i > 13) {
@@ -610,7 +611,7 @@
       }
     }
     assertThat(serve(g, 20, 20)).doesNotContainKey(hung.host());
-    // Back after a while, it is tried with one request, however many come before its answer.
+    // After the ejection it receives a single request until it responds.
     g.now += 3_000;
     int before = g.sent.size();
     for (int i = 0; i < 10; i++) {
--- a/src/test/java/ternscale/policy/Gateway.java
+++ b/src/test/java/ternscale/policy/Gateway.java
@@ -13,7 +13,7 @@
 import ternscale.api.Settings.Effect;
 import ternscale.api.Settings.RequestClass;
 
-/** A gateway for tests: keeps what the balancer asks for as short lines. */
+/** A gateway for tests that records the balancer's actions as short lines. */
 final class Gateway implements Actions {
   record Sent(String request, String host, int attempt) {}
 
@@ -23,7 +23,7 @@
   final List<Sent> sent = new ArrayList<>();
   final LcStarBalancer balancer;
 
-  /** How far off the timer that was set last is. */
+  /** Delay of the timer that was set last. */
   double timerMs;
 
   double now = 1_000_000;
@@ -61,7 +61,7 @@
         classes);
   }
 
-  /** Discovery is asked, and a gateway with no watch may be without news for so long. */
+  /** Discovery answers on request, with this maximum time between updates. */
   static Settings mustAskIn(double ms) {
     Settings s = settings(Settings.Discovery.ON_REQUEST, type(Effect.REPEATABLE, DedupScope.ALL));
     return new Settings(
@@ -86,7 +86,7 @@
         s.weightMeaning());
   }
 
-  /** The same for one gateway of several. */
+  /** The same settings for one gateway of several. */
   static Settings oneOf(Settings s, int me, int instances) {
     return new Settings(
         me,
@@ -124,7 +124,7 @@
         classes);
   }
 
-  /** With hosts that remember keys, and this price of a handshake. */
+  /** Hosts cache by key, and a handshake has this cost. */
   static Settings handshake(double price, RequestClass... classes) {
     return settings(
         Settings.Discovery.PUSHED,
--- a/src/test/java/ternscale/policy/HandshakesTest.java
+++ b/src/test/java/ternscale/policy/HandshakesTest.java
@@ -17,9 +17,9 @@
 import ternscale.api.Settings.Effect;
 
 /**
- * A whole fleet of modules, each with little traffic of its own, before the same hosts: how many
- * requests find a connection at rest, how even the hosts' load is, and how often a host has seen a
- * request's key lately.
+ * Simulates a fleet of balancers, each with little traffic, in front of the same hosts. Measures
+ * how many requests need a handshake, how even the load of the hosts is, and how often a host has
+ * recently served the key of a request.
  */
 class HandshakesTest {
   private static final int GATEWAYS = 60;
@@ -33,7 +33,11 @@
 
   private record Seen(double handshakes, double mostLoad, double warm) {}
 
-  /** {@code restMs}: how long a connection is kept after it was last used. */
+  /**
+   * Simulates the fleet.
+   *
+   * @param idleMs how long a connection is kept after its last use
+   */
   private static Seen play(double price, double restMs, long seed) {
     Settings settings = Gateway.handshake(price, Gateway.type(Effect.BY_KEY, DedupScope.ALL));
     List<Gateway> fleet = new ArrayList<>();
@@ -76,7 +80,7 @@
       int sent = g.sent.size();
       g.balancer.onRequest(
           now, new RequestInfo("r" + requests, 0, 0, now + 2_000, 100, "k" + key, false, false));
-      assertThat(g.sent).as("LC* holds nothing here").hasSizeGreaterThan(sent);
+      assertThat(g.sent).as("LC* holds no request here").hasSizeGreaterThan(sent);
       String host = g.lastSent().host();
       requests++;
       Double last = usedAt.remove(number + host);
--- a/src/test/java/ternscale/policy/HostClockTest.java
+++ b/src/test/java/ternscale/policy/HostClockTest.java
@@ -13,7 +13,7 @@
 import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Effect;
 
-/** The clock of whoever lists the hosts is off by an hour against the gateway's, either way. */
+/** The clock of the host list differs by an hour from the gateway's, in either direction. */
 class HostClockTest {
   private static final double NOW = 100 * 3_600_000.0;
 
@@ -37,14 +37,14 @@
     tell(MembersUpdate.Kind.FULL, "old", 0, NOW);
     tell(MembersUpdate.Kind.DELTA, "new", NOW + offMs, NOW);
     assertThat(coldStart.isCold(host("new"), NOW)).isTrue();
-    // Told again, as another list comes, it does not start anew.
+    // An update that repeats the same start time does not restart the slow start.
     double later = NOW + settings.rules().slowStartMs() / 2;
     tell(MembersUpdate.Kind.DELTA, "new", NOW + offMs, later);
     assertThat(coldStart.isCold(host("new"), NOW + settings.rules().slowStartMs())).isFalse();
     assertThat(coldStart.isCold(host("old"), NOW)).isFalse();
   }
 
-  /** The first list tells of starts of all times. */
+  /** The first list contains hosts that started at any time in the past. */
   @ParameterizedTest
   @ValueSource(strings = {"FULL", "DELTA"})
   void whatTheFirstListTellsOfOldStartsHolds(MembersUpdate.Kind kind) {
--- a/src/test/java/ternscale/policy/RuleCheckTest.java
+++ b/src/test/java/ternscale/policy/RuleCheckTest.java
@@ -22,7 +22,7 @@
 import ternscale.api.Settings.Effect;
 import ternscale.api.Settings.RequestClass;
 
-/** Plays seeded legal events at the balancer and checks every action against the rules. */
+/** Sends random valid events to the balancer and checks every action against the rules. */
 class RuleCheckTest {
   private static final Settings SETTINGS =
       Gateway.settings(
@@ -73,7 +73,7 @@
       script.add("send " + requestId + " " + host);
       Owed r = requests.get(requestId);
       HostEntry h = listed.get(host);
-      assertThat(r.answered).as("answered before this send").isFalse();
+      assertThat(r.answered).as("final response before this send").isFalse();
       assertThat(now).isLessThan(r.info.deadline());
       assertThat(r.tries.size()).isLessThan(SETTINGS.limits().maxAttempts());
       assertThat(h.availability()).isEqualTo(Availability.UP);
@@ -89,7 +89,7 @@
 
     private void answer(String requestId) {
       Owed r = requests.get(requestId);
-      assertThat(r.answered).as("answered twice").isFalse();
+      assertThat(r.answered).as("second final response").isFalse();
       assertThat(now).isLessThanOrEqualTo(r.info.deadline() + SETTINGS.rules().responseGraceMs());
       r.answered = true;
     }
@@ -185,7 +185,7 @@
     return c.script;
   }
 
-  /** Deadlines that passed: an attempt still out times out then, cut to the deadline. */
+  /** Runs due timers, and times out attempts in flight at the deadline of their request. */
   private static void due(Checker c, LcStarBalancer balancer) {
     double until = c.now;
     for (; ; ) {
@@ -223,7 +223,7 @@
     }
     c.now = until;
     for (Owed r : c.open) {
-      assertThat(r.answered || r.info.deadline() + 20 >= c.now).as("answer overdue").isTrue();
+      assertThat(r.answered || r.info.deadline() + 20 >= c.now).as("response in time").isTrue();
     }
     c.open.removeIf(r -> r.answered && r.tries.stream().allMatch(t -> t.result != null));
   }
--- a/src/test/java/ternscale/policy/SilenceTest.java
+++ b/src/test/java/ternscale/policy/SilenceTest.java
@@ -14,7 +14,7 @@
 import ternscale.api.Settings.Discovery;
 import ternscale.api.Settings.Effect;
 
-/** A gateway whose zone is cut off from the others: most hosts are silent, its own answer. */
+/** A gateway whose zone is partitioned from the others: most hosts are unresponsive. */
 class SilenceTest {
   private static final int HOSTS = 20;
   private static final double CUT_MS = 2_000;
@@ -22,7 +22,7 @@
 
   private record Call(double end, Gateway.Sent sent, Result result, double took) {}
 
-  /** The part of the requests that went to silent hosts once 2 s of silence had passed. */
+  /** Share of requests sent to unresponsive hosts from 2 s after the partition on. */
   private static double lost(int answering, Result ofTheSilent, double afterMs) {
     Gateway g =
         new Gateway(
@@ -61,7 +61,10 @@
     return (double) lost / asked;
   }
 
-  /** With no more than two in five passed over, half of the requests went on being lost. */
+  /**
+   * With at most two in five hosts ejected, half of the requests were still sent to unresponsive
+   * hosts.
+   */
   @ParameterizedTest
   @CsvSource({"CONNECT_FAILED, 250", "TIMEOUT, 1500"})
   void aZoneThatIsSilentIsPassedOverEvenIfItIsMostOfTheHosts(Result result, double afterMs) {
--- a/src/test/java/ternscale/policy/SlowStartFleetTest.java
+++ b/src/test/java/ternscale/policy/SlowStartFleetTest.java
@@ -20,32 +20,32 @@
 import ternscale.api.Settings.Effect;
 
 /**
- * The budget of a host in slow start binds the sum of what all gateways send it, though each knows
- * its own traffic only. Simulated to the millisecond, with a seed for each play: hosts of one
- * capacity at seven tenths of it, gateways with uneven parts of the traffic.
+ * The budget of a host in slow start limits the sum of the requests from all gateways, although
+ * each gateway knows only its own traffic. Simulates individual requests, with a seed per run, to
+ * hosts of equal capacity at 0.7 of it, from gateways with uneven shares of the traffic.
  */
 class SlowStartFleetTest {
   private static final Settings SETTINGS =
       Gateway.settings(Settings.Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
 
-  /** And as many as there are gateways, where those are more. */
+  /** The number of hosts is this or the number of gateways, whichever is larger. */
   private static final int LEAST_HOSTS = 20;
 
   private static final double WORK_MS = 50;
   private static final double LATENCY_MS = 60;
 
-  /** What a warm host with one core can serve, in requests a millisecond. */
+  /** Capacity of a warm host with one core, in requests per millisecond. */
   private static final double CAPACITY = 1 / WORK_MS;
 
   private static final double LOAD = 0.7;
   private static final double WARM_UP_MS = 20_000;
   private static final int SEEDS = 10;
 
-  /** How the host comes to be cold. */
+  /** Why the host is cold. */
   enum Start {
     NEW_HOST,
     RESTART,
-    /** And half of the gateways start anew while it is warming up. */
+    /** The host restarts, and half of the gateways restart during its slow start. */
     GATEWAYS_RESTART_TOO
   }
 
@@ -60,7 +60,7 @@
       Fleet fleet = new Fleet(start, gateways, seed);
       fleet.play();
       assertThat(fleet.worstExcess())
-          .as("calls beyond the budget, seed %d", seed)
+          .as("calls over the budget, seed %d", seed)
           .isLessThanOrEqualTo(0);
       if (start != Start.GATEWAYS_RESTART_TOO) {
         assertThat(fleet.coldCalls).as("a cold host is used, seed %d", seed).isNotEmpty();
@@ -68,7 +68,7 @@
     }
   }
 
-  /** An answer on its way back to a gateway. */
+  /** A response that is on its way to a gateway. */
   private record Answer(double at, int gateway, Gateway.Sent sent) {}
 
   private static final class Fleet {
@@ -92,7 +92,7 @@
       double sum = 0;
       for (int i = 0; i < count; i++) {
         gateways.add(gateway(i, count, seed * 1_000 + i));
-        // Some see several times the mean.
+        // Log-normal shares: some gateways receive several times the mean traffic.
         sum += Math.exp(random.nextGaussian() * 0.7);
         cumulativeShare[i] = sum;
       }
@@ -180,7 +180,7 @@
       }
     }
 
-    /** The most calls beyond what a window of the settings allows from its beginning on. */
+    /** The maximum excess of calls over the allowed number, over windows that start at a call. */
     double worstExcess() {
       Settings.Rules rules = SETTINGS.rules();
       double worst = Double.NEGATIVE_INFINITY;
