--- a/src/main/java/ternscale/adapter/Adapter.java
+++ b/src/main/java/ternscale/adapter/Adapter.java
@@ -34,14 +34,14 @@
     while (in.next()) {
       String msg = in.text(Field.MSG);
       if (!msg.equals("Mark")) {
-        throw in.fail("expected field msg to be Mark, not " + msg);
+        throw in.error("expected field msg to be Mark, not " + msg);
       }
       now = in.number(Field.SIM_TIME);
       long frame = in.integer(Field.FRAME);
       boolean failed = false;
       while (true) {
         if (!in.next()) {
-          throw in.fail("unexpected end of input inside the batch");
+          throw in.error("unexpected end of input inside the batch");
         }
         msg = in.text(Field.MSG);
         if (msg.equals("Eob")) {
@@ -49,13 +49,13 @@
         }
         failed |= !handle(msg, failed);
       }
-      out.finish(frame);
+      out.finishReply(frame);
     }
   }
 
   /** Dispatches one event. Returns false if the balancer failed, which ends the simulation. */
   private boolean handle(String msg, boolean failed) {
-    int who = in.small(Field.WHO);
+    int who = in.nonNegativeInt(Field.WHO);
     Runnable event = parse(msg, who);
     if (failed) {
       return true;
@@ -65,14 +65,14 @@
       return true;
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      out.giveIn(who, e + (trace.length > 0 ? " at " + trace[0] : ""));
+      out.writeFailure(who, e + (trace.length > 0 ? " at " + trace[0] : ""));
       return false;
     }
   }
 
   private Runnable parse(String msg, int who) {
     return switch (msg) {
-      case "OpenInstance" -> open(who);
+      case "OpenInstance" -> openInstance(who);
       case "Kill" -> {
         Balancer b = balancer(who);
         yield () -> {
@@ -81,45 +81,45 @@
         };
       }
       case "Members" -> members(balancer(who));
-      case "Call" -> call(balancer(who));
-      case "Ended" -> ended(balancer(who));
+      case "Call" -> request(balancer(who));
+      case "Ended" -> attemptEnded(balancer(who));
       case "CancelledByClient" -> {
         Balancer b = balancer(who);
         String call = in.text(Field.CALL);
         yield () -> b.onClientDisconnected(now, call);
       }
-      case "Accepted" -> accepted(balancer(who));
+      case "Accepted" -> responseStarted(balancer(who));
       case "Reminder" -> {
         Balancer b = balancer(who);
         long name = in.integer(Field.NAME);
         yield () -> b.onTimer(now, name);
       }
-      case "Sampled" -> sampled(balancer(who));
+      case "Sampled" -> probeEnded(balancer(who));
       case "Memo" -> {
         Balancer b = balancer(who);
-        int sender = in.small(Field.SENDER);
+        int sender = in.nonNegativeInt(Field.SENDER);
         String data = in.textOr(Field.DATA, "");
         yield () -> b.onPeerMessage(now, sender, data);
       }
-      default -> throw in.fail("field msg has the unknown value " + msg);
+      default -> throw in.error("field msg has the unknown value " + msg);
     };
   }
 
   private Balancer balancer(int who) {
     Balancer b = balancers.get(who);
     if (b == null) {
-      throw in.fail("field who refers to instance " + who + ", which is not open");
+      throw in.error("field who refers to instance " + who + ", which is not open");
     }
     return b;
   }
 
-  private Runnable open(int who) {
+  private Runnable openInstance(int who) {
     long seed = in.integer(Field.RANDOM_SEED);
     ternscale.api.Settings settings;
     try {
       settings = SettingsReader.read(in.settings());
     } catch (WireException | IllegalArgumentException e) {
-      throw in.fail("settings: " + e.getMessage());
+      throw in.error("settings: " + e.getMessage());
     }
     return () -> balancers.put(who, new LcStarBalancer(settings, seed, now, out.forInstance(who)));
   }
@@ -132,19 +132,19 @@
           case "full" -> MembersUpdate.Kind.FULL;
           case "cached" -> MembersUpdate.Kind.CACHED;
           case "failed" -> MembersUpdate.Kind.FAILED;
-          default -> throw in.fail("field scope has the unknown value " + scope);
+          default -> throw in.error("field scope has the unknown value " + scope);
         };
     MembersUpdate update =
         new MembersUpdate(kind, (long) in.numberOr(Field.INDEX, 0), in.entries());
     return () -> b.onMembers(now, update);
   }
 
-  private Runnable call(Balancer b) {
+  private Runnable request(Balancer b) {
     RequestInfo request =
         new RequestInfo(
             in.text(Field.CALL),
-            in.smallOr(Field.LANE, 0),
-            in.smallOr(Field.PROJECT, 0),
+            in.nonNegativeIntOr(Field.LANE, 0),
+            in.nonNegativeIntOr(Field.PROJECT, 0),
             in.number(Field.CLIENT_DEADLINE),
             in.numberOr(Field.ESTIMATE, 0),
             in.textOr(Field.ENTITY, null),
@@ -153,12 +153,12 @@
     return () -> b.onRequest(now, request);
   }
 
-  private Runnable ended(Balancer b) {
+  private Runnable attemptEnded(Balancer b) {
     Outcome outcome =
         new Outcome(
             in.text(Field.CALL),
             in.text(Field.HOST),
-            in.smallOr(Field.SHOT, 0),
+            in.nonNegativeIntOr(Field.SHOT, 0),
             result(),
             in.numberOr(Field.TIME_TAKEN, 0),
             in.flag(Field.CLOSED),
@@ -166,14 +166,14 @@
     return () -> b.onOutcome(now, outcome);
   }
 
-  private Runnable accepted(Balancer b) {
+  private Runnable responseStarted(Balancer b) {
     String call = in.text(Field.CALL);
-    int shot = in.smallOr(Field.SHOT, 0);
+    int shot = in.nonNegativeIntOr(Field.SHOT, 0);
     String host = in.text(Field.HOST);
     return () -> b.onResponseStarted(now, call, shot, host);
   }
 
-  private Runnable sampled(Balancer b) {
+  private Runnable probeEnded(Balancer b) {
     ProbeResult result =
         new ProbeResult(
             in.text(Field.HOST), result(), in.numberOr(Field.TIME_TAKEN, 0), in.report());
@@ -191,7 +191,7 @@
       case "RST" -> Result.RESET;
       case "CXL" -> Result.CANCELLED;
       case "NOP" -> Result.NOT_SENT;
-      default -> throw in.fail("field code has the unknown value " + code);
+      default -> throw in.error("field code has the unknown value " + code);
     };
   }
 }
--- a/src/main/java/ternscale/adapter/JsonTree.java
+++ b/src/main/java/ternscale/adapter/JsonTree.java
@@ -93,9 +93,9 @@
     return out;
   }
 
-  public double number(double absent) {
+  public double number(double defaultValue) {
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     if (!(value instanceof Double d) || !Double.isFinite(d)) {
       throw error("is not a number");
@@ -103,17 +103,17 @@
     return d;
   }
 
-  public int integer(int absent) {
-    double d = number(absent);
+  public int integer(int defaultValue) {
+    double d = number(defaultValue);
     if (d != (int) d) {
       throw error("is not an integer");
     }
     return (int) d;
   }
 
-  public boolean flag(boolean absent) {
+  public boolean flag(boolean defaultValue) {
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     if (!(value instanceof Boolean b)) {
       throw error("is not a boolean");
@@ -121,9 +121,9 @@
     return b;
   }
 
-  public String text(String absent) {
+  public String text(String defaultValue) {
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     if (!(value instanceof String s)) {
       throw error("is not a string");
@@ -136,9 +136,9 @@
     if (!(value instanceof Map<?, ?> map)) {
       return this;
     }
-    Map<Object, Object> rest = new LinkedHashMap<>(map);
-    rest.remove(key);
-    return new JsonTree(path, rest);
+    Map<Object, Object> remaining = new LinkedHashMap<>(map);
+    remaining.remove(key);
+    return new JsonTree(path, remaining);
   }
 
   /**
@@ -150,22 +150,22 @@
   public void requireKeysOf(JsonTree model) {
     if (model.value instanceof Map<?, ?> keys) {
       for (Object key : keys.keySet()) {
-        JsonTree mine = get((String) key);
-        JsonTree its = model.get((String) key);
-        if (mine.value == null && its.value != null) {
-          throw mine.error("is missing");
+        JsonTree member = get((String) key);
+        JsonTree modelMember = model.get((String) key);
+        if (member.value == null && modelMember.value != null) {
+          throw member.error("is missing");
         }
-        mine.requireKeysOf(its);
+        member.requireKeysOf(modelMember);
       }
     } else if (model.value instanceof List<?>) {
       for (JsonTree item : list()) {
-        item.requireKeysOf(model.common());
+        item.requireKeysOf(model.commonMembers());
       }
     }
   }
 
   /** The members that all objects of this array have in common. */
-  private JsonTree common() {
+  private JsonTree commonMembers() {
     Map<?, ?> common = null;
     for (JsonTree item : list()) {
       Map<?, ?> map = item.value instanceof Map<?, ?> m ? m : Map.of();
--- a/src/main/java/ternscale/adapter/WireReader.java
+++ b/src/main/java/ternscale/adapter/WireReader.java
@@ -59,15 +59,15 @@
   private static final Field[] FIELDS = Field.values();
 
   private final JsonParser parser;
-  private final int[] state = new int[FIELDS.length];
+  private final int[] valueTypes = new int[FIELDS.length];
   private final String[] texts = new String[FIELDS.length];
   private final double[] numbers = new double[FIELDS.length];
   private final long[] integers = new long[FIELDS.length];
-  private final boolean[] whole = new boolean[FIELDS.length];
+  private final boolean[] isWholeNumber = new boolean[FIELDS.length];
   private JsonTree settings;
   private List<HostEntry> entries;
   private boolean hasReport;
-  private boolean badReport;
+  private boolean isReportInvalid;
   private final List<Double> report = new ArrayList<>();
   private int line;
 
@@ -92,7 +92,7 @@
       }
       line = parser.currentTokenLocation().getLineNr();
       if (t != JsonToken.START_OBJECT) {
-        throw fail("the value is not a JSON object");
+        throw error("the value is not a JSON object");
       }
       readFields();
       return true;
@@ -105,11 +105,11 @@
   }
 
   private void readFields() throws IOException {
-    java.util.Arrays.fill(state, ABSENT);
+    java.util.Arrays.fill(valueTypes, ABSENT);
     settings = null;
     entries = null;
     hasReport = false;
-    badReport = false;
+    isReportInvalid = false;
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
       String key = parser.currentName();
       JsonToken t = parser.nextToken();
@@ -159,29 +159,29 @@
     }
     int i = f.ordinal();
     switch (t) {
-      case VALUE_NULL -> state[i] = ABSENT;
+      case VALUE_NULL -> valueTypes[i] = ABSENT;
       case VALUE_STRING -> {
-        state[i] = TEXT;
+        valueTypes[i] = TEXT;
         texts[i] = parser.getText();
       }
       case VALUE_NUMBER_INT -> {
-        state[i] = NUMBER;
-        whole[i] = parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER;
-        integers[i] = whole[i] ? parser.getLongValue() : 0;
+        valueTypes[i] = NUMBER;
+        isWholeNumber[i] = parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER;
+        integers[i] = isWholeNumber[i] ? parser.getLongValue() : 0;
         numbers[i] = parser.getDoubleValue();
       }
       case VALUE_NUMBER_FLOAT -> {
-        state[i] = NUMBER;
+        valueTypes[i] = NUMBER;
         numbers[i] = parser.getDoubleValue();
         integers[i] = (long) numbers[i];
-        whole[i] = integers[i] == numbers[i];
+        isWholeNumber[i] = integers[i] == numbers[i];
       }
       case VALUE_TRUE, VALUE_FALSE -> {
-        state[i] = FLAG;
+        valueTypes[i] = FLAG;
         integers[i] = t == JsonToken.VALUE_TRUE ? 1 : 0;
       }
       default -> {
-        state[i] = OTHER;
+        valueTypes[i] = OTHER;
         parser.skipChildren();
       }
     }
@@ -194,7 +194,7 @@
     }
     hasReport = true;
     if (t != JsonToken.START_ARRAY) {
-      badReport = true;
+      isReportInvalid = true;
       parser.skipChildren();
       return;
     }
@@ -204,7 +204,7 @@
       } else if (t.isNumeric()) {
         report.add(parser.getDoubleValue());
       } else {
-        badReport = true;
+        isReportInvalid = true;
         parser.skipChildren();
       }
     }
@@ -215,12 +215,12 @@
       return;
     }
     if (t != JsonToken.START_ARRAY) {
-      throw fail("field rows_in is not an array");
+      throw error("field rows_in is not an array");
     }
     entries = new ArrayList<>();
     while ((t = parser.nextToken()) != JsonToken.END_ARRAY) {
       if (t != JsonToken.START_OBJECT) {
-        throw fail("field rows_in has an element that is not an object");
+        throw error("field rows_in has an element that is not an object");
       }
       entries.add(readEntry());
     }
@@ -252,27 +252,27 @@
       }
     }
     if (host == null) {
-      throw fail("an entry of rows_in is missing field host");
+      throw error("an entry of rows_in is missing field host");
     }
     if (availability == null) {
-      throw fail("the entry of " + host + " is missing field availability");
+      throw error("the entry of " + host + " is missing field availability");
     }
     if (weight < 0) {
-      throw fail("field weight of an entry is negative");
+      throw error("field weight of an entry is negative");
     }
     return new HostEntry(host, weight, kind, zone, cell, availability, startedAt);
   }
 
   private String entryText(String key, JsonToken t) throws IOException {
     if (t != JsonToken.VALUE_STRING) {
-      throw fail("field " + key + " of an entry is not a string");
+      throw error("field " + key + " of an entry is not a string");
     }
     return parser.getText();
   }
 
   private double entryNumber(String key, JsonToken t) throws IOException {
     if (!t.isNumeric() || !Double.isFinite(parser.getDoubleValue())) {
-      throw fail("field " + key + " of an entry is not a finite number");
+      throw error("field " + key + " of an entry is not a finite number");
     }
     return parser.getDoubleValue();
   }
@@ -280,7 +280,7 @@
   private int entryInt(String key, JsonToken t) throws IOException {
     double value = entryNumber(key, t);
     if (value != (int) value || value < 0 || value > 1_000_000) {
-      throw fail("field " + key + " of an entry is not an integer from 0 to 1000000");
+      throw error("field " + key + " of an entry is not an integer from 0 to 1000000");
     }
     return (int) value;
   }
@@ -290,63 +290,63 @@
       case "on" -> Availability.UP;
       case "fading" -> Availability.DRAINING;
       case "off" -> Availability.GONE;
-      default -> throw fail("field availability of an entry has the unknown value " + word);
+      default -> throw error("field availability of an entry has the unknown value " + word);
     };
   }
 
   String text(Field f) {
-    need(f, TEXT, "string");
+    require(f, TEXT, "string");
     return texts[f.ordinal()];
   }
 
-  String textOr(Field f, String absent) {
-    return state[f.ordinal()] == ABSENT ? absent : text(f);
+  String textOr(Field f, String defaultValue) {
+    return valueTypes[f.ordinal()] == ABSENT ? defaultValue : text(f);
   }
 
   double number(Field f) {
-    need(f, NUMBER, "number");
+    require(f, NUMBER, "number");
     double value = numbers[f.ordinal()];
     if (!Double.isFinite(value)) {
-      throw fail("field " + f.key + " is out of range");
+      throw error("field " + f.key + " is out of range");
     }
     return value;
   }
 
-  double numberOr(Field f, double absent) {
-    return state[f.ordinal()] == ABSENT ? absent : number(f);
+  double numberOr(Field f, double defaultValue) {
+    return valueTypes[f.ordinal()] == ABSENT ? defaultValue : number(f);
   }
 
   long integer(Field f) {
-    need(f, NUMBER, "number");
-    if (!whole[f.ordinal()]) {
-      throw fail("field " + f.key + " is not an integer in range");
+    require(f, NUMBER, "number");
+    if (!isWholeNumber[f.ordinal()]) {
+      throw error("field " + f.key + " is not an integer in range");
     }
     return integers[f.ordinal()];
   }
 
-  int smallOr(Field f, int absent) {
-    return state[f.ordinal()] == ABSENT ? absent : small(f);
+  int nonNegativeIntOr(Field f, int defaultValue) {
+    return valueTypes[f.ordinal()] == ABSENT ? defaultValue : nonNegativeInt(f);
   }
 
-  int small(Field f) {
+  int nonNegativeInt(Field f) {
     long value = integer(f);
     if (value < 0 || value > Integer.MAX_VALUE) {
-      throw fail("field " + f.key + " is not an integer in range");
+      throw error("field " + f.key + " is not an integer in range");
     }
     return (int) value;
   }
 
   boolean flag(Field f) {
-    if (state[f.ordinal()] == ABSENT) {
+    if (valueTypes[f.ordinal()] == ABSENT) {
       return false;
     }
-    need(f, FLAG, "boolean");
+    require(f, FLAG, "boolean");
     return integers[f.ordinal()] == 1;
   }
 
   JsonTree settings() {
     if (settings == null) {
-      throw fail("field settings is missing");
+      throw error("field settings is missing");
     }
     return settings;
   }
@@ -356,23 +356,23 @@
   }
 
   List<Double> report() {
-    if (badReport) {
-      throw fail("field report is not an array of numbers");
+    if (isReportInvalid) {
+      throw error("field report is not an array of numbers");
     }
     return hasReport ? List.copyOf(report) : List.of();
   }
 
-  private void need(Field f, int type, String word) {
-    int seen = state[f.ordinal()];
-    if (seen == ABSENT) {
-      throw fail("field " + f.key + " is missing");
+  private void require(Field f, int expected, String typeName) {
+    int actual = valueTypes[f.ordinal()];
+    if (actual == ABSENT) {
+      throw error("field " + f.key + " is missing");
     }
-    if (seen != type) {
-      throw fail("field " + f.key + " is not a " + word);
+    if (actual != expected) {
+      throw error("field " + f.key + " is not a " + typeName);
     }
   }
 
-  WireException fail(String what) {
+  WireException error(String what) {
     return new WireException("line " + line + ": " + what);
   }
 }
--- a/src/main/java/ternscale/adapter/WireWriter.java
+++ b/src/main/java/ternscale/adapter/WireWriter.java
@@ -27,7 +27,7 @@
   }
 
   /** Ends the reply and sends it with one write and one flush. */
-  void finish(long frame) throws IOException {
+  void finishReply(long frame) throws IOException {
     json.writeStartObject();
     json.writeStringField("msg", "Yield");
     json.writeNumberField("frame", frame);
@@ -39,11 +39,11 @@
     reply.reset();
   }
 
-  private interface Body {
+  private interface ActionFields {
     void write() throws IOException;
   }
 
-  private void action(String name, int who, Body body) {
+  private void writeAction(String name, int who, ActionFields body) {
     try {
       json.writeStartObject();
       json.writeFieldName(MSG);
@@ -58,18 +58,18 @@
     }
   }
 
-  private void call(String id) throws IOException {
+  private void writeCall(String id) throws IOException {
     json.writeFieldName(CALL);
     json.writeString(id);
   }
 
-  private void host(String id) throws IOException {
+  private void writeHost(String id) throws IOException {
     json.writeFieldName(HOST);
     json.writeString(id);
   }
 
-  void giveIn(int who, String text) {
-    action("GiveIn", who, () -> json.writeStringField("line", text));
+  void writeFailure(int who, String text) {
+    writeAction("GiveIn", who, () -> json.writeStringField("line", text));
   }
 
   /** Creates the actions of one instance. */
@@ -86,12 +86,12 @@
 
     @Override
     public void send(String requestId, String host, double timeoutMs) {
-      action(
+      writeAction(
           "Place",
           who,
           () -> {
-            call(requestId);
-            host(host);
+            writeCall(requestId);
+            writeHost(host);
             if (timeoutMs > 0) {
               json.writeNumberField("give_up_after", timeoutMs);
             }
@@ -100,11 +100,11 @@
 
     @Override
     public void reject(String requestId, double retryAfterMs) {
-      action(
+      writeAction(
           "Shed",
           who,
           () -> {
-            call(requestId);
+            writeCall(requestId);
             if (retryAfterMs > 0) {
               json.writeNumberField("retry_after", retryAfterMs);
             }
@@ -113,33 +113,33 @@
 
     @Override
     public void fail(String requestId) {
-      action("DropRequest", who, () -> call(requestId));
+      writeAction("DropRequest", who, () -> writeCall(requestId));
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-      action(
+      writeAction(
           "Abandon",
           who,
           () -> {
-            call(requestId);
+            writeCall(requestId);
             json.writeNumberField("shot", attempt);
           });
     }
 
     @Override
     public void probe(String host) {
-      action("SoundOut", who, () -> host(host));
+      writeAction("SoundOut", who, () -> writeHost(host));
     }
 
     @Override
     public void closeIdle(String host) {
-      action("LetGo", who, () -> host(host));
+      writeAction("LetGo", who, () -> writeHost(host));
     }
 
     @Override
     public void setTimer(long timer, double delayMs) {
-      action(
+      writeAction(
           "Schedule",
           who,
           () -> {
@@ -150,22 +150,22 @@
 
     @Override
     public void poll() {
-      action("Lookup", who, () -> {});
+      writeAction("Lookup", who, () -> {});
     }
 
     @Override
     public void watch(boolean on) {
-      action("Watch", who, () -> json.writeBooleanField("want", on));
+      writeAction("Watch", who, () -> json.writeBooleanField("want", on));
     }
 
     @Override
     public void log(String line) {
-      action("JournalLine", who, () -> json.writeStringField("line", line));
+      writeAction("JournalLine", who, () -> json.writeStringField("line", line));
     }
 
     @Override
     public void sendToPeer(int peer, String data) {
-      action(
+      writeAction(
           "Tell",
           who,
           () -> {
--- a/src/main/java/ternscale/policy/Admission.java
+++ b/src/main/java/ternscale/policy/Admission.java
@@ -20,102 +20,102 @@
    * late, so that queues show early; the threshold stays between these fractions of the latency
    * target.
    */
-  private static final double LEAST_LATE = 0.4;
+  private static final double MIN_LATE_FRACTION = 0.4;
 
-  private static final double NEARLY_LATE = 0.7;
-  private static final double USUAL_FACTOR = 2.5;
+  private static final double LATE_FRACTION = 0.7;
+  private static final double TYPICAL_LATENCY_FACTOR = 2.5;
 
   /** Typical latency is a low quantile, which queueing affects last; its estimate moves slowly. */
-  private static final double USUAL_QUANTILE = 0.3;
+  private static final double TYPICAL_QUANTILE = 0.3;
 
-  private static final double USUAL_STEP = 0.02;
+  private static final double TYPICAL_STEP = 0.02;
 
-  private static final double USUAL_SPAN_MS = 100;
+  private static final double TYPICAL_FULL_STEP_MS = 100;
 
   /**
    * The shed level moves with elapsed time, not per outcome, so its speed does not depend on the
    * request rate. It is in equilibrium when one outcome in 7 is bad.
    */
-  private static final double RISE_PER_MS = 0.9e-3;
+  private static final double LEVEL_RISE_PER_MS = 0.9e-3;
 
   /**
    * Late responses do not amplify an overload when clients do not retry (observed at site
    * bc-screening), so the level rises more slowly. Retries are known only where clients mark them.
    */
-  private static final double CALM_RISE_PER_MS = 0.3e-3;
+  private static final double LEVEL_RISE_WITHOUT_RETRIES_PER_MS = 0.3e-3;
 
-  private static final double CALM_REPEATS = 0.05;
+  private static final double LOW_CLIENT_RETRY_SHARE = 0.05;
 
-  private static final double FALL_PER_MS = 0.15e-3;
+  private static final double LEVEL_FALL_PER_MS = 0.15e-3;
 
   /** One outcome accounts for at most this much elapsed time, and consumes this share of it. */
-  private static final double OUTCOME_SPAN_MS = 500;
+  private static final double MAX_OUTCOME_SPAN_MS = 500;
 
-  private static final double OUTCOME_PART = 0.5;
+  private static final double OUTCOME_SPAN_SHARE = 0.5;
 
   /** A few late responses can raise the level this far by chance; nothing is shed below it. */
   private static final double DEAD_BAND = 0.1;
 
   /** Some traffic always passes; otherwise no outcome would show that the overload has ended. */
-  private static final double MOST_SHED = 0.9;
+  private static final double MAX_LEVEL = 0.9;
 
   /** The shedding order is recomputed at this interval, as the worst-served class may change. */
-  private static final double ORDER_MS = 200;
+  private static final double SORT_INTERVAL_MS = 200;
 
   /** Time constant of the traffic mix. */
   private static final double MIX_MEMORY_MS = 5_000;
 
   /** Each first send adds this much to the retry budget, so retries cannot amplify an overload. */
-  private static final double RETRY_SHARE = 0.1;
+  private static final double RETRY_TOKENS_PER_REQUEST = 0.1;
 
-  private static final double RETRY_COST_OF_ERROR = 0.1;
+  private static final double ERROR_RETRY_COST = 0.1;
 
-  private static final double RETRY_BURST = 5;
+  private static final double MAX_RETRY_TOKENS = 5;
 
   /**
    * Only an idle, fast host can serve a request whose cost hint exceeds its target this many times,
    * so such requests are shed first.
    */
-  private static final double TOO_HEAVY_FACTOR = 1.5;
+  private static final double TOO_EXPENSIVE_FACTOR = 1.5;
 
   /** No host can meet the target beyond this factor; the request would only delay others. */
-  private static final double HOPELESS_FACTOR = 4;
+  private static final double INFEASIBLE_FACTOR = 4;
 
-  private static final double RETRY_AFTER_PART = 0.1;
+  private static final double RETRY_AFTER_FRACTION = 0.1;
 
-  private static final int BUCKETS = 4;
-  private static final int OVER_SHARE = 1;
-  private static final int TOO_HEAVY = 2;
+  private static final int BUCKETS_PER_CLASS = 4;
+  private static final int OVER_QUOTA = 1;
+  private static final int TOO_EXPENSIVE = 2;
 
   private Settings settings;
   private final Random random;
   private final double startedAt;
 
   /** Decayed offered work by class, over quota or not, and too expensive for its target or not. */
-  private double[] work = new double[0];
+  private double[] offeredWork = new double[0];
 
-  private int[] byDensity;
+  private int[] bucketsByDensity;
 
   /** Value offered and value served in time, by class; the objective may weight the worst class. */
-  private double[] asked;
-
-  private double[] served;
-  private double orderedAt;
-  private final double[] tenantCount;
-  private double[] usual = new double[0];
-  private double[] usualAt = new double[0];
-  private double at;
-  private double level;
-  private double heardAt;
-  private double repeats;
-  private double retryTokens = RETRY_BURST;
+  private double[] offeredValue;
+
+  private double[] servedValue;
+  private double sortedAt;
+  private final double[] tenantRequests;
+  private double[] typicalLatencyMs = new double[0];
+  private double[] typicalUpdatedAt = new double[0];
+  private double decayedAt;
+  private double shedLevel;
+  private double levelUpdatedAt;
+  private double clientRetryShare;
+  private double retryTokens = MAX_RETRY_TOKENS;
 
   Admission(Settings settings, Random random, double now) {
     this.random = random;
     startedAt = now;
-    at = now;
-    heardAt = now;
-    tenantCount = new double[settings.tenants().size()];
+    decayedAt = now;
+    levelUpdatedAt = now;
+    tenantRequests = new double[settings.tenants().size()];
     reload(settings, now);
   }
 
@@ -123,67 +123,67 @@
   void reload(Settings next, double now) {
     settings = next;
     int classes = next.classes().size();
-    work = Arrays.copyOf(work, BUCKETS * classes);
-    usual = Arrays.copyOf(usual, classes);
-    usualAt = Arrays.copyOf(usualAt, classes);
-    asked = new double[classes];
-    served = new double[classes];
-    order(now);
+    offeredWork = Arrays.copyOf(offeredWork, BUCKETS_PER_CLASS * classes);
+    typicalLatencyMs = Arrays.copyOf(typicalLatencyMs, classes);
+    typicalUpdatedAt = Arrays.copyOf(typicalUpdatedAt, classes);
+    offeredValue = new double[classes];
+    servedValue = new double[classes];
+    sortBuckets(now);
   }
 
   /** Sorts the buckets by what the objective loses per unit of work shed. */
-  private void order(double now) {
-    orderedAt = now;
-    int worst =
-        IntStream.range(0, asked.length)
-            .reduce(0, (w, c) -> served[c] * asked[w] < served[w] * asked[c] ? c : w);
-    double share = asked[worst] / Math.max(1e-9, Arrays.stream(asked).sum());
+  private void sortBuckets(double now) {
+    sortedAt = now;
+    int worstClass =
+        IntStream.range(0, offeredValue.length)
+            .reduce(0, (w, c) -> servedValue[c] * offeredValue[w] < servedValue[w] * offeredValue[c] ? c : w);
+    double worstShare = offeredValue[worstClass] / Math.max(1e-9, Arrays.stream(offeredValue).sum());
     Settings.Objective goal = settings.objective();
-    double general = Math.max(1e-9, goal.overall() + goal.worstWindow());
-    double factor = share > 0 ? 1 + goal.worstClass() / general / share : 1;
-    byDensity =
-        IntStream.range(0, work.length)
+    double overallWeight = Math.max(1e-9, goal.overall() + goal.worstWindow());
+    double factor = worstShare > 0 ? 1 + goal.worstClass() / overallWeight / worstShare : 1;
+    bucketsByDensity =
+        IntStream.range(0, offeredWork.length)
             .boxed()
             .sorted(
-                Comparator.comparingDouble(b -> density(b) * (b / BUCKETS == worst ? factor : 1)))
+                Comparator.comparingDouble(b -> valuePerWork(b) * (b / BUCKETS_PER_CLASS == worstClass ? factor : 1)))
             .mapToInt(Integer::intValue)
             .toArray();
   }
 
-  private double density(int bucket) {
-    RequestClass c = settings.classes().get(bucket / BUCKETS);
+  private double valuePerWork(int bucket) {
+    RequestClass c = settings.classes().get(bucket / BUCKETS_PER_CLASS);
     return c.value()
-        * ((bucket & OVER_SHARE) != 0 ? settings.overQuotaValueFactor() : 1)
-        * ((bucket & TOO_HEAVY) != 0 ? c.lateValueFactor() : 1);
+        * ((bucket & OVER_QUOTA) != 0 ? settings.overQuotaValueFactor() : 1)
+        * ((bucket & TOO_EXPENSIVE) != 0 ? c.lateValueFactor() : 1);
   }
 
   /** Whether to accept a request; false means to reject it now. */
   boolean admits(Pending p, double now) {
-    age(now);
+    decay(now);
     RequestInfo r = p.info;
-    int bucket = BUCKETS * r.requestClass() + (overShare(r.tenant(), now) ? OVER_SHARE : 0);
-    if (r.costHint() > TOO_HEAVY_FACTOR * p.aimMs()) {
-      bucket |= TOO_HEAVY;
+    int bucket = BUCKETS_PER_CLASS * r.requestClass() + (isOverQuota(r.tenant(), now) ? OVER_QUOTA : 0);
+    if (r.costHint() > TOO_EXPENSIVE_FACTOR * p.targetLatencyMs()) {
+      bucket |= TOO_EXPENSIVE;
     }
-    if (density(bucket) <= 0 && r.costHint() > HOPELESS_FACTOR * p.type.targetLatencyMs()) {
+    if (valuePerWork(bucket) <= 0 && r.costHint() > INFEASIBLE_FACTOR * p.requestClass.targetLatencyMs()) {
       return false;
     }
-    repeats += ((r.isClientRetry() ? 1 : 0) - repeats) * 0.02;
-    work[bucket] += p.work();
-    asked[r.requestClass()] += p.worth();
-    if (now - orderedAt > ORDER_MS) {
-      order(now);
+    clientRetryShare += ((r.isClientRetry() ? 1 : 0) - clientRetryShare) * 0.02;
+    offeredWork[bucket] += p.work();
+    offeredValue[r.requestClass()] += p.value();
+    if (now - sortedAt > SORT_INTERVAL_MS) {
+      sortBuckets(now);
     }
-    if (level <= DEAD_BAND) {
+    if (shedLevel <= DEAD_BAND) {
       return true;
     }
-    double left = (level - DEAD_BAND) * Arrays.stream(work).sum();
-    for (int b : byDensity) {
+    double workToShed = (shedLevel - DEAD_BAND) * Arrays.stream(offeredWork).sum();
+    for (int b : bucketsByDensity) {
       if (b == bucket) {
-        return random.nextDouble() * work[b] >= left;
+        return random.nextDouble() * offeredWork[b] >= workToShed;
       }
-      left -= work[b];
-      if (left <= 0) {
+      workToShed -= offeredWork[b];
+      if (workToShed <= 0) {
         return true;
       }
     }
@@ -194,74 +194,74 @@
    * Draws at random whether a request counts as over its tenant's quota. The fleet-wide rate is
    * estimated as this gateway's rate times the number of gateways.
    */
-  private boolean overShare(int tenant, double now) {
-    if (tenant >= tenantCount.length) {
+  private boolean isOverQuota(int tenant, double now) {
+    if (tenant >= tenantRequests.length) {
       return false;
     }
-    tenantCount[tenant]++;
+    tenantRequests[tenant]++;
     double quota = settings.tenants().get(tenant).quotaRps();
-    double seen = MIX_MEMORY_MS * (1 - Math.exp((startedAt - now - 1) / MIX_MEMORY_MS));
-    double rate = 1000 * tenantCount[tenant] / Math.max(seen, 1000) * settings.instanceCount();
+    double observedMs = MIX_MEMORY_MS * (1 - Math.exp((startedAt - now - 1) / MIX_MEMORY_MS));
+    double rate = 1000 * tenantRequests[tenant] / Math.max(observedMs, 1000) * settings.instanceCount();
     return quota > 0 && rate > quota && random.nextDouble() > quota / rate;
   }
 
-  private double usual(int c, double elapsedMs, double now) {
-    double part = Math.min(1, (now - usualAt[c]) / USUAL_SPAN_MS);
-    usualAt[c] = now;
-    usual[c] = usual[c] == 0 ? elapsedMs : usual[c];
-    double toward = elapsedMs < usual[c] ? USUAL_QUANTILE - 1 : USUAL_QUANTILE;
-    return usual[c] *= 1 + USUAL_STEP * part * toward;
+  private double updateTypicalLatencyMs(int c, double elapsedMs, double now) {
+    double stepShare = Math.min(1, (now - typicalUpdatedAt[c]) / TYPICAL_FULL_STEP_MS);
+    typicalUpdatedAt[c] = now;
+    typicalLatencyMs[c] = typicalLatencyMs[c] == 0 ? elapsedMs : typicalLatencyMs[c];
+    double direction = elapsedMs < typicalLatencyMs[c] ? TYPICAL_QUANTILE - 1 : TYPICAL_QUANTILE;
+    return typicalLatencyMs[c] *= 1 + TYPICAL_STEP * stepShare * direction;
   }
 
   void onOutcome(Pending p, Result result, double elapsedMs, double now) {
-    RequestClass c = p.type;
-    double late = NEARLY_LATE * c.targetLatencyMs();
+    RequestClass c = p.requestClass;
+    double lateThresholdMs = LATE_FRACTION * c.targetLatencyMs();
     if (result == Result.OK) {
-      served[p.info.requestClass()] += now <= p.aimAt() ? p.worth() : 0;
-      double usual = USUAL_FACTOR * usual(p.info.requestClass(), elapsedMs, now);
-      late = Math.min(late, Math.max(LEAST_LATE * c.targetLatencyMs(), usual));
+      servedValue[p.info.requestClass()] += now <= p.targetAt() ? p.value() : 0;
+      double typicalThresholdMs = TYPICAL_LATENCY_FACTOR * updateTypicalLatencyMs(p.info.requestClass(), elapsedMs, now);
+      lateThresholdMs = Math.min(lateThresholdMs, Math.max(MIN_LATE_FRACTION * c.targetLatencyMs(), typicalThresholdMs));
       // An expensive request takes long on an idle host too; only the excess indicates queueing.
-      late += Math.max(0, p.info.costHint() - usual / USUAL_FACTOR);
+      lateThresholdMs += Math.max(0, p.info.costHint() - typicalThresholdMs / TYPICAL_LATENCY_FACTOR);
     }
-    double span = Math.min(OUTCOME_SPAN_MS, now - heardAt);
-    if (result == Result.OK && elapsedMs <= late) {
-      level = Math.max(0, level - FALL_PER_MS * span);
+    double spanMs = Math.min(MAX_OUTCOME_SPAN_MS, now - levelUpdatedAt);
+    if (result == Result.OK && elapsedMs <= lateThresholdMs) {
+      shedLevel = Math.max(0, shedLevel - LEVEL_FALL_PER_MS * spanMs);
     } else if (result == Result.OK || result == Result.REJECTED || result == Result.TIMEOUT) {
-      level = Math.min(MOST_SHED, level + risePerMs(result) * span);
+      shedLevel = Math.min(MAX_LEVEL, shedLevel + risePerMs(result) * spanMs);
     } else {
       return;
     }
     // Outcomes of the same tick share its span; otherwise only the first of them would count.
-    heardAt = now - span * (1 - OUTCOME_PART);
+    levelUpdatedAt = now - spanMs * (1 - OUTCOME_SPAN_SHARE);
   }
 
   /** Advice on when to retry: soon, as late requests have little value; later as load grows. */
   double retryAfterMs() {
-    return RETRY_AFTER_PART * level * settings.limits().maxRetryAfterMs();
+    return RETRY_AFTER_FRACTION * shedLevel * settings.limits().maxRetryAfterMs();
   }
 
   private double risePerMs(Result result) {
-    boolean calm = settings.clientsMarkRetries() && repeats < CALM_REPEATS;
-    return calm && result == Result.OK ? CALM_RISE_PER_MS : RISE_PER_MS;
+    boolean fewClientRetries = settings.clientsMarkRetries() && clientRetryShare < LOW_CLIENT_RETRY_SHARE;
+    return fewClientRetries && result == Result.OK ? LEVEL_RISE_WITHOUT_RETRIES_PER_MS : LEVEL_RISE_PER_MS;
   }
 
   void onFirstSend() {
-    retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
+    retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
   }
 
   /** Takes a retry from the budget, if it suffices. Errors do not indicate load and cost less. */
   boolean takeRetry(Result after) {
-    boolean load = after == Result.REJECTED || after == Result.TIMEOUT;
-    double cost = load ? 1 : RETRY_COST_OF_ERROR;
+    boolean indicatesLoad = after == Result.REJECTED || after == Result.TIMEOUT;
+    double cost = indicatesLoad ? 1 : ERROR_RETRY_COST;
     boolean enough = retryTokens >= cost;
     retryTokens -= enough ? cost : 0;
     return enough;
   }
 
-  private void age(double now) {
-    double keep = Math.exp((at - now) / MIX_MEMORY_MS);
-    at = now;
-    Arrays.setAll(work, i -> work[i] * keep);
-    Arrays.setAll(tenantCount, i -> tenantCount[i] * keep);
+  private void decay(double now) {
+    double decayFactor = Math.exp((decayedAt - now) / MIX_MEMORY_MS);
+    decayedAt = now;
+    Arrays.setAll(offeredWork, i -> offeredWork[i] * decayFactor);
+    Arrays.setAll(tenantRequests, i -> tenantRequests[i] * decayFactor);
   }
 }
--- a/src/main/java/ternscale/policy/ColdStart.java
+++ b/src/main/java/ternscale/policy/ColdStart.java
@@ -21,35 +21,35 @@
   private static final double PEAK_MEMORY_MS = 60_000;
 
   /** The rate is sampled only while at least this share of the hosts is warm. */
-  private static final double WARM_SHARE = 0.5;
+  private static final double MIN_WARM_SHARE = 0.5;
 
   /** Fraction of the permitted multiple: covers slow hosts, uneven gateway shares and bursts. */
-  private static final double PART_OF_MULTIPLE = 0.35;
+  private static final double MULTIPLE_FRACTION = 0.35;
 
   /** Maximum unused credit, in mean requests; small, as all gateways accumulate it at once. */
-  private static final double BURST = 0.25;
+  private static final double MAX_CREDIT_REQUESTS = 0.25;
 
   private final Rules rules;
   private final Random random;
   private final double startedAt;
-  private double workPerHost;
+  private double servedWorkPerHost;
   private double meanWork;
-  private double peak;
-  private double peakAt;
-  private int listed;
-  private int warm;
+  private double peakRate;
+  private double peakUpdatedAt;
+  private int listedCount;
+  private int warmCount;
 
   /** Time from which no listed host is cold. */
   double coldUntil;
 
-  private double at;
+  private double decayedAt;
 
   ColdStart(Rules rules, Random random, double now) {
     this.rules = rules;
     this.random = random;
     this.startedAt = now;
-    this.at = now;
-    this.peakAt = now;
+    this.decayedAt = now;
+    this.peakUpdatedAt = now;
   }
 
   boolean isCold(Host h, double now) {
@@ -61,21 +61,21 @@
    * off by any amount: a start in the future counts as now, and so does a start that is reported as
    * a change but appears to lie a whole slow start or more in the past.
    */
-  double believedStart(double listed, boolean isChange, double now) {
-    boolean past = listed > 0 && now - listed >= rules.slowStartMs();
-    return listed > now || (isChange && past) ? now : listed;
+  double effectiveStart(double listed, boolean isChange, double now) {
+    boolean isWarm = listed > 0 && now - listed >= rules.slowStartMs();
+    return listed > now || (isChange && isWarm) ? now : listed;
   }
 
   /** The share of its capacity that the host certainly has: grows linearly from its start. */
-  private double warmth(Host h, double now) {
-    double grown = Math.max(0, now - h.startedAt) / rules.slowStartMs();
-    return Math.min(1, rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * grown);
+  private double capacityShare(Host h, double now) {
+    double elapsedShare = Math.max(0, now - h.startedAt) / rules.slowStartMs();
+    return Math.min(1, rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * elapsedShare);
   }
 
   /** Starts at a random debt: full credit at all gateways at once would overload the host. */
-  void begin(Host h, double now) {
-    h.coldLevel = -random.nextDouble() * meanWork();
-    h.coldLevelAt = now;
+  void startBudget(Host h, double now) {
+    h.coldCredit = -random.nextDouble() * meanWork();
+    h.coldCreditAt = now;
   }
 
   /** Rule 4 (no overload of a cold host): whether this gateway has credit for the host. */
@@ -83,27 +83,27 @@
     if (!isCold(h, now)) {
       return true;
     }
-    double rate = PART_OF_MULTIPLE * rules.overloadMultiple() * warmth(h, now) * bornePerHost(now);
-    h.coldLevel = Math.min(BURST * meanWork(), h.coldLevel + rate * (now - h.coldLevelAt));
-    h.coldLevelAt = now;
-    return h.coldLevel >= 0;
+    double rate = MULTIPLE_FRACTION * rules.overloadMultiple() * capacityShare(h, now) * peakRatePerHost(now);
+    h.coldCredit = Math.min(MAX_CREDIT_REQUESTS * meanWork(), h.coldCredit + rate * (now - h.coldCreditAt));
+    h.coldCreditAt = now;
+    return h.coldCredit >= 0;
   }
 
   /** Records work that a host completed: the basis for the rate that a warm host can serve. */
   void onServed(Host h, double work, double now) {
-    age(now);
+    decay(now);
     meanWork += (work - meanWork) * (meanWork == 0 ? 1 : 0.02);
     if (!isCold(h, now)) {
       // Divides by the current number of hosts. Dividing later, after most of a fleet had been
       // removed, attributed the fleet's load to the last few hosts, and the returning fleet was
       // overloaded (incident L45fba6).
-      workPerHost += work / Math.max(1, warm);
+      servedWorkPerHost += work / Math.max(1, warmCount);
     }
   }
 
   void onSend(Host h, double work, double now) {
     if (isCold(h, now)) {
-      h.coldLevel -= Math.max(work, meanWork());
+      h.coldCredit -= Math.max(work, meanWork());
     }
   }
 
@@ -111,33 +111,33 @@
    * The rate at which this gateway loads a warm host: a decaying peak, as the current rate drops
    * during a deployment.
    */
-  private double bornePerHost(double now) {
-    double keep = Math.exp((peakAt - now) / PEAK_MEMORY_MS);
-    peakAt = now;
-    peak *= keep;
-    if (warm >= WARM_SHARE * listed) {
-      age(now);
-      double seen = RATE_MEMORY_MS * (1 - Math.exp((startedAt - now) / RATE_MEMORY_MS));
-      peak = Math.max(peak, workPerHost / Math.max(seen, RATE_MEMORY_MS / 2));
+  private double peakRatePerHost(double now) {
+    double decayFactor = Math.exp((peakUpdatedAt - now) / PEAK_MEMORY_MS);
+    peakUpdatedAt = now;
+    peakRate *= decayFactor;
+    if (warmCount >= MIN_WARM_SHARE * listedCount) {
+      decay(now);
+      double observedMs = RATE_MEMORY_MS * (1 - Math.exp((startedAt - now) / RATE_MEMORY_MS));
+      peakRate = Math.max(peakRate, servedWorkPerHost / Math.max(observedMs, RATE_MEMORY_MS / 2));
     }
-    return peak;
+    return peakRate;
   }
 
   /** Updates the number of listed hosts, and of warm ones among them. */
-  void census(List<Host> up, double now) {
-    listed = up.size();
-    warm = (int) up.stream().filter(h -> !isCold(h, now)).count();
+  void updateHostCounts(List<Host> up, double now) {
+    listedCount = up.size();
+    warmCount = (int) up.stream().filter(h -> !isCold(h, now)).count();
     coldUntil = up.stream().mapToDouble(h -> h.startedAt).max().orElse(0) + rules.slowStartMs() + 1;
-    bornePerHost(now);
+    peakRatePerHost(now);
   }
 
   double meanWork() {
     return meanWork > 0 ? meanWork : 1;
   }
 
-  private void age(double now) {
-    double keep = Math.exp((at - now) / RATE_MEMORY_MS);
-    workPerHost *= keep;
-    at = now;
+  private void decay(double now) {
+    double decayFactor = Math.exp((decayedAt - now) / RATE_MEMORY_MS);
+    servedWorkPerHost *= decayFactor;
+    decayedAt = now;
   }
 }
--- a/src/main/java/ternscale/policy/Host.java
+++ b/src/main/java/ternscale/policy/Host.java
@@ -8,14 +8,14 @@
   final String id;
   int zone;
   int cell;
-  int kind;
+  int hardwareType;
   double weight = 1;
 
-  /** Start time in use, which may differ from the listed one: {@link ColdStart#believedStart}. */
+  /** Start time in use, which may differ from the listed one: {@link ColdStart#effectiveStart}. */
   double startedAt;
 
   /** Start time as listed, by the clock of the list's writer. */
-  private double listedStart;
+  private double listedStartedAt;
 
   Availability availability = Availability.GONE;
 
@@ -23,10 +23,10 @@
   int inFlight;
 
   /** This gateway's long requests in flight: the LC* flag, kept as a count. */
-  int longs;
+  int longInFlight;
 
   /** Time of its last response; with {@link #busySince}, shows when it is unresponsive. */
-  double heardAt;
+  double lastResponseAt;
 
   /** Start of the current period with requests in flight. */
   double busySince;
@@ -51,18 +51,18 @@
   double attempts;
 
   /** Decayed sum and count of log slowness relative to the mean of its hardware type. */
-  double slowSum;
+  double logSlownessSum;
 
-  double slowCount;
-  double learnedAt;
+  double slownessCount;
+  double decayedAt;
 
   /** When a request was last sent or finished, while connections may be open; 0 otherwise. */
-  double connectedAt;
+  double connectionUsedAt;
 
   /** Slow start: work that this gateway may still send to the cold host; {@link ColdStart}. */
-  double coldLevel;
+  double coldCredit;
 
-  double coldLevelAt;
+  double coldCreditAt;
 
   /** Position in the ring of hosts; see {@link Selector}. */
   final long hash;
@@ -80,39 +80,39 @@
    *
    * @return whether the host has restarted
    */
-  boolean apply(HostEntry e) {
-    boolean restarted = e.startedAt() != listedStart && e.availability() != Availability.GONE;
-    zone = e.zone();
-    cell = e.cell();
-    kind = e.hardwareType();
-    weight = e.weight() > 0 ? e.weight() : 1;
-    availability = e.availability();
-    listedStart = e.startedAt();
+  boolean apply(HostEntry entry) {
+    boolean restarted = entry.startedAt() != listedStartedAt && entry.availability() != Availability.GONE;
+    zone = entry.zone();
+    cell = entry.cell();
+    hardwareType = entry.hardwareType();
+    weight = entry.weight() > 0 ? entry.weight() : 1;
+    availability = entry.availability();
+    listedStartedAt = entry.startedAt();
     if (restarted) {
-      startedAt = listedStart;
-      forget();
+      startedAt = listedStartedAt;
+      resetLearned();
     }
     return restarted;
   }
 
-  private void forget() {
+  private void resetLearned() {
     ejectedUntil = 0;
     erringUntil = 0;
     ejections = 0;
     rejections = 0;
     failures = 0;
     attempts = 0;
-    slowSum = 0;
-    slowCount = 0;
+    logSlownessSum = 0;
+    slownessCount = 0;
   }
 
   /** Decays the learned statistics, so that old outcomes lose weight. */
-  void age(double now, double memoryMs) {
-    double keep = Math.exp((learnedAt - now) / memoryMs);
-    learnedAt = now;
-    failures *= keep;
-    attempts *= keep;
-    slowSum *= keep;
-    slowCount *= keep;
+  void decay(double now, double memoryMs) {
+    double decayFactor = Math.exp((decayedAt - now) / memoryMs);
+    decayedAt = now;
+    failures *= decayFactor;
+    attempts *= decayFactor;
+    logSlownessSum *= decayFactor;
+    slownessCount *= decayFactor;
   }
 }
--- a/src/main/java/ternscale/policy/HostTable.java
+++ b/src/main/java/ternscale/policy/HostTable.java
@@ -17,107 +17,107 @@
 /** The hosts, the statistics learned from this gateway's outcomes, and outlier ejection. */
 final class HostTable {
   /** Time constant of outcomes: a few times their interval at a host with little traffic. */
-  private static final double MEMORY_MS = 10_000;
+  private static final double OUTCOME_MEMORY_MS = 10_000;
 
   /** Weight of the hardware type's mean in a host's slowness, in outcomes of that host. */
   private static final double PRIOR_OUTCOMES = 3;
 
   /** Weight of an outcome in its zone's slowness; larger for other zones, which yield few. */
-  private static final double ZONE_STEP = 0.01;
+  private static final double OWN_ZONE_STEP = 0.01;
 
-  private static final double FAR_STEP = 0.1;
+  private static final double REMOTE_ZONE_STEP = 0.1;
 
   /** How long a host that returns errors receives no unrepeatable requests. */
   private static final double ERRING_MS = 5_000;
 
   /** Shortest ejection; doubles while the host keeps failing. */
-  private static final double EJECT_MS = 2_000;
+  private static final double BASE_EJECTION_MS = 2_000;
 
-  private static final int EJECT_DOUBLINGS = 3;
+  private static final int MAX_EJECTION_DOUBLINGS = 3;
 
   /** Maximum share of the listed hosts that may be ejected. */
-  private static final double EJECT_SHARE = 0.4;
+  private static final double MAX_EJECTED_SHARE = 0.4;
 
   /**
    * The maximum for a host whose zone is unresponsive while other hosts respond: a partitioned
    * gateway may reach only its own zone.
    */
-  private static final double SILENT_SHARE = 0.8;
+  private static final double MAX_EJECTED_SHARE_UNRESPONSIVE_ZONE = 0.8;
 
   /** One failure suffices where failures are rare, as a gateway sees few outcomes of a host. */
-  private static final double EJECT_FAILURES = 0.9;
+  private static final double EJECTION_FAILURES = 0.9;
 
   /** Failures below this share of attempts do not eject: the service may fail on all hosts. */
-  private static final double EJECT_RATE = 1.0 / 6;
+  private static final double MIN_EJECTION_FAILURE_RATE = 1.0 / 6;
 
   /** Consecutive rejections; a full host accepts some, a broken one none (incident i4d927b). */
-  static final int EJECT_REJECTIONS = 4;
+  static final int EJECTION_REJECTIONS = 4;
 
   /** Maximum share ejected for rejections: under overload many are full (bc's small fleets). */
-  private static final double FULL_SHARE = 0.1;
+  private static final double MAX_EJECTED_SHARE_REJECTING = 0.1;
 
   /** A timeout may come from a long request or an overload, so it takes two to eject. */
-  private static final double TIMEOUT_EVIDENCE = 0.5;
+  private static final double TIMEOUT_FAILURE_WEIGHT = 0.5;
 
   /** A host with short requests in flight and no response for this part of the target hangs. */
-  private static final double QUIET_PART = 0.5;
+  private static final double UNRESPONSIVE_FRACTION = 0.5;
 
   /** Idle time before connections are closed; they fill the hosts' tables (incident i59fa1d). */
-  private static final double LINGER_MS = 1_000;
+  private static final double IDLE_CONNECTION_MS = 1_000;
 
   /** Where handshakes have a cost: the fraction of the idle timeout of hosts to keep them for. */
-  private static final double PRICED_LINGER_PART = 0.8;
+  private static final double IDLE_CONNECTION_FRACTION = 0.8;
 
-  double lingerMs;
+  double idleConnectionMs;
   private final Map<String, Host> byId = new LinkedHashMap<>();
   Host[] all = new Host[0];
   final ColdStart coldStart;
-  private double[] classLatency = new double[0];
-  private double[] classWork = new double[0];
-  private double[] kindSlow = new double[1];
-  private double[] kindCount = new double[1];
-  private final double[] zoneSlow;
+  private double[] meanLatencyMs = new double[0];
+  private double[] meanWork = new double[0];
+  private double[] hardwareSlowness = new double[1];
+  private double[] hardwareOutcomes = new double[1];
+  private final double[] zoneSlowness;
   private final int ownZone;
 
   /** Whether a list was received from discovery; start times that are new afterwards are recent. */
-  private boolean listHeard;
+  private boolean listReceived;
 
   /** The hosts that are up, sorted by hash: the same order at every gateway. */
   final List<Host> ring = new ArrayList<>();
 
   HostTable(Settings settings, ColdStart coldStart) {
     this.coldStart = coldStart;
-    zoneSlow = new double[settings.zoneCount()];
+    zoneSlowness = new double[settings.zoneCount()];
     ownZone = settings.zone();
     reload(settings);
   }
 
   void reload(Settings next) {
-    classLatency = Arrays.copyOf(classLatency, next.classes().size());
-    classWork = Arrays.copyOf(classWork, next.classes().size());
-    double part = next.costs().handshake() > 0 ? PRICED_LINGER_PART : 0;
-    lingerMs = Math.max(LINGER_MS, part * next.limits().idleConnectionMs());
+    meanLatencyMs = Arrays.copyOf(meanLatencyMs, next.classes().size());
+    meanWork = Arrays.copyOf(meanWork, next.classes().size());
+    double idleFraction = next.costs().handshake() > 0 ? IDLE_CONNECTION_FRACTION : 0;
+    idleConnectionMs = Math.max(IDLE_CONNECTION_MS, idleFraction * next.limits().idleConnectionMs());
   }
 
   void apply(MembersUpdate update, double now) {
     if (!update.kind().hasEntries()) {
       return;
     }
-    Set<String> named = new HashSet<>();
+    Set<String> listedIds = new HashSet<>();
     for (HostEntry e : update.entries()) {
-      named.add(e.host());
+      listedIds.add(e.host());
       Host h = byId.computeIfAbsent(e.host(), Host::new);
       if (h.apply(e)) {
-        h.startedAt = coldStart.believedStart(e.startedAt(), listHeard, now);
-        coldStart.begin(h, now);
+        h.startedAt = coldStart.effectiveStart(e.startedAt(), listReceived, now);
+        coldStart.startBudget(h, now);
       }
-      kindSlow = Arrays.copyOf(kindSlow, Math.max(kindSlow.length, e.hardwareType() + 1));
-      kindCount = Arrays.copyOf(kindCount, kindSlow.length);
+      hardwareSlowness = Arrays.copyOf(hardwareSlowness, Math.max(hardwareSlowness.length, e.hardwareType() + 1));
+      hardwareOutcomes = Arrays.copyOf(hardwareOutcomes, hardwareSlowness.length);
     }
-    listHeard |= update.kind() != MembersUpdate.Kind.CACHED;
+    listReceived |= update.kind() != MembersUpdate.Kind.CACHED;
     ring.clear();
     for (Host h : byId.values()) {
-      if (update.kind() != MembersUpdate.Kind.DELTA && !named.contains(h.id)) {
+      if (update.kind() != MembersUpdate.Kind.DELTA && !listedIds.contains(h.id)) {
         h.availability = Availability.GONE;
       }
       if (h.availability == Availability.UP) {
@@ -131,89 +131,89 @@
   }
 
   /** Whether a host seems to hang: shows before its first timeout and ends with any response. */
-  boolean isQuiet(Host h, Pending p, double now) {
-    double since = Math.max(h.heardAt, h.busySince);
-    return h.inFlight > h.longs && now - since > QUIET_PART * p.type.targetLatencyMs();
+  boolean isUnresponsive(Host h, Pending p, double now) {
+    double since = Math.max(h.lastResponseAt, h.busySince);
+    return h.inFlight > h.longInFlight && now - since > UNRESPONSIVE_FRACTION * p.requestClass.targetLatencyMs();
   }
 
   /** Updates the statistics of a host with a finished attempt, and ejects the host if needed. */
-  void learn(Host h, Pending p, Pending.Attempt a, Result result, double elapsedMs, double now) {
-    h.age(now, MEMORY_MS);
+  void recordOutcome(Host h, Pending p, Pending.Attempt a, Result result, double elapsedMs, double now) {
+    h.decay(now, OUTCOME_MEMORY_MS);
     if (result == Result.CANCELLED || result == Result.NOT_SENT) {
       return;
     }
     h.attempts++;
     if (result == Result.OK || result == Result.ERROR || result == Result.REJECTED) {
-      h.heardAt = now;
+      h.lastResponseAt = now;
     }
     if (result == Result.OK) {
-      h.ejections -= h.ejections > 0 && h.failures < EJECT_FAILURES / 3 ? 1 : 0;
+      h.ejections -= h.ejections > 0 && h.failures < EJECTION_FAILURES / 3 ? 1 : 0;
       h.rejections = 0;
-      learnSpeed(h, p, elapsedMs);
+      recordLatency(h, p, elapsedMs);
     } else if (result == Result.REJECTED) {
-      if (++h.rejections >= EJECT_REJECTIONS) {
-        eject(h, FULL_SHARE, now);
+      if (++h.rejections >= EJECTION_REJECTIONS) {
+        eject(h, MAX_EJECTED_SHARE_REJECTING, now);
       }
     } else {
-      double silentMs = Math.max(elapsedMs, QUIET_PART * p.type.targetLatencyMs());
-      boolean zone = ring.stream().anyMatch(o -> o.zone == h.zone && now - o.heardAt < silentMs);
-      boolean any = ring.stream().anyMatch(o -> now - o.heardAt < EJECT_MS);
-      double share = any && !zone ? SILENT_SHARE : EJECT_SHARE;
-      h.failures += result == Result.TIMEOUT ? TIMEOUT_EVIDENCE : 1;
+      double silenceMs = Math.max(elapsedMs, UNRESPONSIVE_FRACTION * p.requestClass.targetLatencyMs());
+      boolean zoneResponds = ring.stream().anyMatch(o -> o.zone == h.zone && now - o.lastResponseAt < silenceMs);
+      boolean anyResponds = ring.stream().anyMatch(o -> now - o.lastResponseAt < BASE_EJECTION_MS);
+      double maxShare = anyResponds && !zoneResponds ? MAX_EJECTED_SHARE_UNRESPONSIVE_ZONE : MAX_EJECTED_SHARE;
+      h.failures += result == Result.TIMEOUT ? TIMEOUT_FAILURE_WEIGHT : 1;
       if (result == Result.TIMEOUT
-          && h.heardAt <= a.sentAt()
+          && h.lastResponseAt <= a.sentAt()
           && !a.isLong()
-          && elapsedMs >= p.type.targetLatencyMs()) {
+          && elapsedMs >= p.requestClass.targetLatencyMs()) {
         // No response to any request in that time: it hangs, and its low count would attract more.
         h.ejections = 0;
-        eject(h, share, now);
-      } else if (h.failures >= EJECT_FAILURES && h.failures > h.attempts * EJECT_RATE) {
+        eject(h, maxShare, now);
+      } else if (h.failures >= EJECTION_FAILURES && h.failures > h.attempts * MIN_EJECTION_FAILURE_RATE) {
         if (result == Result.ERROR) {
           h.erringUntil = now + ERRING_MS;
         } else {
-          eject(h, share, now);
+          eject(h, maxShare, now);
         }
       }
     }
   }
 
-  private void learnSpeed(Host h, Pending p, double elapsedMs) {
+  private void recordLatency(Host h, Pending p, double elapsedMs) {
     int c = p.info.requestClass();
     double work = p.info.costHint();
-    if (classLatency[c] == 0) {
-      classLatency[c] = elapsedMs;
-      classWork[c] = work;
+    if (meanLatencyMs[c] == 0) {
+      meanLatencyMs[c] = elapsedMs;
+      meanWork[c] = work;
     }
-    classLatency[c] += (elapsedMs - classLatency[c]) * 0.02;
-    classWork[c] += (work - classWork[c]) * 0.02;
-    double relative = classWork[c] > 0 ? 0.5 + 0.5 * work / classWork[c] : 1;
-    double slow = Math.log(Math.max(0.05, elapsedMs / (classLatency[c] * relative)));
-    kindCount[h.kind] = kindCount[h.kind] * 0.995 + 1;
-    kindSlow[h.kind] += (slow - kindSlow[h.kind]) / kindCount[h.kind];
-    h.slowSum += slow - kindSlow[h.kind];
-    double step = h.zone == ownZone ? ZONE_STEP : FAR_STEP;
-    zoneSlow[h.zone] += (slow - kindSlow[h.kind] - zoneSlow[h.zone]) * step;
-    h.slowCount++;
+    meanLatencyMs[c] += (elapsedMs - meanLatencyMs[c]) * 0.02;
+    meanWork[c] += (work - meanWork[c]) * 0.02;
+    double relativeWork = meanWork[c] > 0 ? 0.5 + 0.5 * work / meanWork[c] : 1;
+    double logSlowness = Math.log(Math.max(0.05, elapsedMs / (meanLatencyMs[c] * relativeWork)));
+    hardwareOutcomes[h.hardwareType] = hardwareOutcomes[h.hardwareType] * 0.995 + 1;
+    hardwareSlowness[h.hardwareType] += (logSlowness - hardwareSlowness[h.hardwareType]) / hardwareOutcomes[h.hardwareType];
+    h.logSlownessSum += logSlowness - hardwareSlowness[h.hardwareType];
+    double step = h.zone == ownZone ? OWN_ZONE_STEP : REMOTE_ZONE_STEP;
+    zoneSlowness[h.zone] += (logSlowness - hardwareSlowness[h.hardwareType] - zoneSlowness[h.zone]) * step;
+    h.slownessCount++;
   }
 
   /** Log of how much slower a zone is than the fastest one, adjusted for hardware types. */
   double zoneGap(int zone) {
-    return zoneSlow[zone] - Arrays.stream(zoneSlow).min().orElse(0);
+    return zoneSlowness[zone] - Arrays.stream(zoneSlowness).min().orElse(0);
   }
 
   /** Log slowness of a host: the mean of its hardware type, adjusted by its own outcomes. */
   double slowness(Host h) {
-    return kindSlow[h.kind] + h.slowSum / (h.slowCount + PRIOR_OUTCOMES);
+    return hardwareSlowness[h.hardwareType] + h.logSlownessSum / (h.slownessCount + PRIOR_OUTCOMES);
   }
 
-  private void eject(Host h, double share, double now) {
+  private void eject(Host h, double maxShare, double now) {
     long ejected = ring.stream().filter(other -> other.ejectedUntil > now).count();
-    if (ejected < share * ring.size()) {
-      h.ejectedUntil = now + EJECT_MS * (1 << Math.min(h.ejections, EJECT_DOUBLINGS));
-      h.ejections = Math.min(h.ejections + 2, EJECT_DOUBLINGS);
+    if (ejected < maxShare * ring.size()) {
+      h.ejectedUntil = now + BASE_EJECTION_MS * (1 << Math.min(h.ejections, MAX_EJECTION_DOUBLINGS));
+      h.ejections = Math.min(h.ejections + 2, MAX_EJECTION_DOUBLINGS);
       // Half-open: after the ejection one more failure suffices; otherwise the scan would send a
       // burst to it.
-      h.failures = EJECT_FAILURES / 2;
+      h.failures = EJECTION_FAILURES / 2;
     }
   }
 }
--- a/src/main/java/ternscale/policy/LcStarBalancer.java
+++ b/src/main/java/ternscale/policy/LcStarBalancer.java
@@ -18,7 +18,7 @@
 
 /**
  * Handles requests under LC*: hold, send, retry, end. Every send goes through {@link #send}, which
- * checks the four rules; every rejection or failure goes through {@link #end}.
+ * checks the four rules; every rejection or failure goes through {@link #rejectOrFail}.
  */
 public final class LcStarBalancer implements Balancer {
   private static final long HOLD_TIMER = 2;
@@ -30,7 +30,7 @@
   private static final double LONG_SHARE = 0.03;
 
   /** A long request waits this fraction of its target; in the paper it waits indefinitely. */
-  private static final double LONG_WAIT = 0.1;
+  private static final double LONG_WAIT_FRACTION = 0.1;
 
   private Settings settings;
   private final Actions actions;
@@ -41,10 +41,10 @@
   private final Membership membership;
   private final Map<String, Pending> requests = new HashMap<>();
   private final List<Pending> held = new ArrayList<>();
-  private final double[] hints = new double[CUTOFF_SAMPLE];
+  private final double[] costHints = new double[CUTOFF_SAMPLE];
   private int hintCount;
-  private double cutoff = Double.POSITIVE_INFINITY;
-  private double sweptAt = Double.NEGATIVE_INFINITY;
+  private double longCutoff = Double.POSITIVE_INFINITY;
+  private double idleSweptAt = Double.NEGATIVE_INFINITY;
   private boolean holdTimerSet;
   private boolean closed;
 
@@ -64,7 +64,7 @@
   public void onMembers(double now, MembersUpdate update) {
     checkOpen();
     hosts.apply(update, now);
-    coldStart.census(hosts.ring, now);
+    coldStart.updateHostCounts(hosts.ring, now);
     membership.onUpdate(update);
     retryHeld(now);
   }
@@ -76,27 +76,27 @@
     if (c < 0 || c >= settings.classes().size()) {
       throw new IllegalArgumentException("unknown request class: " + c);
     }
-    noteHint(request.costHint());
-    Pending p = new Pending(request, settings.classes().get(c), now, request.costHint() >= cutoff);
+    recordCostHint(request.costHint());
+    Pending p = new Pending(request, settings.classes().get(c), now, request.costHint() >= longCutoff);
     if (requests.putIfAbsent(request.id(), p) != null) {
       throw new IllegalArgumentException("duplicate request id: " + request.id());
     }
-    if (now - sweptAt > hosts.lingerMs / 4) {
-      sweptAt = now;
+    if (now - idleSweptAt > hosts.idleConnectionMs / 4) {
+      idleSweptAt = now;
       // Incident i59fa1d: idle connections filled the hosts' tables, until no host was usable.
       for (Host h : hosts.ring) {
-        if (h.connectedAt > 0 && h.inFlight == 0 && now - h.connectedAt > hosts.lingerMs) {
-          h.connectedAt = 0;
+        if (h.connectionUsedAt > 0 && h.inFlight == 0 && now - h.connectionUsedAt > hosts.idleConnectionMs) {
+          h.connectionUsedAt = 0;
           actions.closeIdle(h.id);
         }
       }
-      coldStart.census(hosts.ring, now);
+      coldStart.updateHostCounts(hosts.ring, now);
     }
     selector.onRequest(request.key(), requests.size());
     if (admission.admits(p, now)) {
       place(p, now);
     } else {
-      end(p, now);
+      rejectOrFail(p, now);
     }
   }
 
@@ -105,8 +105,8 @@
     checkOpen();
     Pending p = requests.get(requestId);
     if (p != null && !p.ended) {
-      close(p);
-      cancelOut(p);
+      markEnded(p);
+      cancelOpenAttempts(p);
     }
   }
 
@@ -114,41 +114,41 @@
   public void onOutcome(double now, Outcome outcome) {
     checkOpen();
     Pending p = requests.get(outcome.requestId());
-    Pending.Attempt a = p == null ? null : takeOut(p, outcome.attempt());
+    Pending.Attempt a = p == null ? null : removeAttempt(p, outcome.attempt());
     if (a == null) {
       return;
     }
     Host h = a.host();
     h.inFlight--;
-    h.connectedAt = now;
-    h.longs -= a.isLong() ? 1 : 0;
+    h.connectionUsedAt = now;
+    h.longInFlight -= a.isLong() ? 1 : 0;
     double elapsedMs = outcome.elapsedMs() - outcome.gatewayDelayMs();
-    hosts.learn(h, p, a, outcome.result(), elapsedMs, now);
+    hosts.recordOutcome(h, p, a, outcome.result(), elapsedMs, now);
     // An outcome delayed mostly within this process does not reflect the state of the hosts.
-    boolean ofHosts = h.ejectedUntil <= now && elapsedMs >= outcome.gatewayDelayMs();
-    boolean ofLoad = ofHosts && h.rejections <= HostTable.EJECT_REJECTIONS;
-    if (!p.ended && !p.isLong && ofLoad) {
+    boolean reflectsHosts = h.ejectedUntil <= now && elapsedMs >= outcome.gatewayDelayMs();
+    boolean reflectsLoad = reflectsHosts && h.rejections <= HostTable.EJECTION_REJECTIONS;
+    if (!p.ended && !p.isLong && reflectsLoad) {
       admission.onOutcome(p, outcome.result(), elapsedMs, now);
     }
     if (outcome.result() == Outcome.Result.OK) {
       coldStart.onServed(h, p.work(), now);
     }
     if (!outcome.result().neverRan()) {
-      p.mayHaveRun(a);
+      p.noteMayHaveRun(a);
     }
     if (p.ended || outcome.requestEnded()) {
       if (!p.ended) {
-        close(p);
-        cancelOut(p);
+        markEnded(p);
+        cancelOpenAttempts(p);
       }
-      forget(p);
+      removeIfDone(p);
     } else {
       p.failedOn.add(h);
-      if (p.out.isEmpty()) {
+      if (p.openAttempts.isEmpty()) {
         if (admission.takeRetry(outcome.result())) {
           place(p, now);
         } else {
-          end(p, now);
+          rejectOrFail(p, now);
         }
       }
     }
@@ -160,7 +160,7 @@
     checkOpen();
     Pending p = requests.get(requestId);
     if (p != null && !p.ended) {
-      close(p);
+      markEnded(p);
     }
   }
 
@@ -195,19 +195,19 @@
 
   /** Sends a request to the LC* choice, or holds it, or ends it if no attempt is permitted. */
   private void place(Pending p, double now) {
-    if (p.attempts >= settings.limits().maxAttempts()
-        || (p.type.effect() == Effect.ONCE && p.anyMayHaveRun())
-        || now >= giveUpAt(p)) {
-      end(p, now);
+    if (p.attemptCount >= settings.limits().maxAttempts()
+        || (p.requestClass.effect() == Effect.ONCE && p.anyMayHaveRun())
+        || now >= latestStartAt(p)) {
+      rejectOrFail(p, now);
       return;
     }
     Predicate<Host> ready = host -> maySend(p, host, now);
-    Predicate<Host> awake = ready.and(host -> !hosts.isQuiet(host, p, now));
-    Host h = selector.pick(p.info.key(), p.isLong, now, awake);
+    Predicate<Host> responsive = ready.and(host -> !hosts.isUnresponsive(host, p, now));
+    Host h = selector.pick(p.info.key(), p.isLong, now, responsive);
     if (h == null) {
       h = selector.pick(p.info.key(), p.isLong, now, ready);
     }
-    if (h == null && p.isLong && now - p.arrivedAt > LONG_WAIT * p.type.targetLatencyMs()) {
+    if (h == null && p.isLong && now - p.arrivedAt > LONG_WAIT_FRACTION * p.requestClass.targetLatencyMs()) {
       h = selector.pick(p.info.key(), false, now, ready);
     }
     if (h != null) {
@@ -223,74 +223,74 @@
   }
 
   /** Latest useful start; the response is assumed to be delayed as long as reading was. */
-  private double giveUpAt(Pending p) {
+  private double latestStartAt(Pending p) {
     double last = p.info.deadline() - 2 * settings.tickMs();
-    return p.type.lateValueFactor() > 0
+    return p.requestClass.lateValueFactor() > 0
         ? last
-        : Math.min(last, p.aimAt() - settings.tickMs() - p.info.readDelayMs());
+        : Math.min(last, p.targetAt() - settings.tickMs() - p.info.readDelayMs());
   }
 
   /** Checks the four rules for one request and one host. */
   private boolean maySend(Pending p, Host h, double now) {
     return h.availability == Availability.UP
         && h.ejectedUntil <= now
-        && (h.ejectedUntil <= h.heardAt || h.inFlight == 0)
-        && (h.erringUntil <= now || p.type.effect() == Effect.REPEATABLE)
+        && (h.ejectedUntil <= h.lastResponseAt || h.inFlight == 0)
+        && (h.erringUntil <= now || p.requestClass.effect() == Effect.REPEATABLE)
         && !p.failedOn.contains(h)
         && coldStart.admits(h, now)
-        && p.effectAllows(h, now, settings.tickMs());
+        && p.mayAttemptOn(h, now, settings.tickMs());
   }
 
   private void send(Pending p, Host h, double now) {
     if (p.ended
-        || p.attempts >= settings.limits().maxAttempts()
-        || (!p.out.isEmpty() && !settings.limits().mayHedge())
+        || p.attemptCount >= settings.limits().maxAttempts()
+        || (!p.openAttempts.isEmpty() && !settings.limits().mayHedge())
         || !maySend(p, h, now)) {
       throw new IllegalStateException("a rule forbids sending " + p.info.id() + " to " + h.id);
     }
-    p.out.add(new Pending.Attempt(p.attempts++, h, now, p.isLong));
+    p.openAttempts.add(new Pending.Attempt(p.attemptCount++, h, now, p.isLong));
     h.busySince = h.inFlight++ == 0 ? now : h.busySince;
-    h.connectedAt = now;
-    h.longs += p.isLong ? 1 : 0;
+    h.connectionUsedAt = now;
+    h.longInFlight += p.isLong ? 1 : 0;
     coldStart.onSend(h, p.work(), now);
-    if (p.attempts == 1) {
+    if (p.attemptCount == 1) {
       admission.onFirstSend();
     }
     actions.send(p.info.id(), h.id, 0);
   }
 
-  private void end(Pending p, double now) {
-    close(p);
-    if (p.mayRefuse()) {
+  private void rejectOrFail(Pending p, double now) {
+    markEnded(p);
+    if (p.mayReject()) {
       actions.reject(p.info.id(), admission.retryAfterMs());
     } else {
       actions.fail(p.info.id());
     }
-    cancelOut(p);
+    cancelOpenAttempts(p);
   }
 
-  private void close(Pending p) {
+  private void markEnded(Pending p) {
     p.ended = true;
-    forget(p);
+    removeIfDone(p);
   }
 
-  private void cancelOut(Pending p) {
+  private void cancelOpenAttempts(Pending p) {
     if (settings.limits().mayCancel()) {
-      for (Pending.Attempt a : p.out) {
+      for (Pending.Attempt a : p.openAttempts) {
         actions.cancel(p.info.id(), a.number());
       }
     }
   }
 
-  private void forget(Pending p) {
-    if (p.ended && p.out.isEmpty()) {
+  private void removeIfDone(Pending p) {
+    if (p.ended && p.openAttempts.isEmpty()) {
       requests.remove(p.info.id());
     }
   }
 
-  private static Pending.Attempt takeOut(Pending p, int number) {
-    Pending.Attempt a = p.out.stream().filter(o -> o.number() == number).findFirst().orElse(null);
-    p.out.remove(a);
+  private static Pending.Attempt removeAttempt(Pending p, int number) {
+    Pending.Attempt a = p.openAttempts.stream().filter(o -> o.number() == number).findFirst().orElse(null);
+    p.openAttempts.remove(a);
     return a;
   }
 
@@ -308,13 +308,13 @@
     }
   }
 
-  private void noteHint(double hint) {
-    hints[hintCount++ % CUTOFF_SAMPLE] = hint;
+  private void recordCostHint(double hint) {
+    costHints[hintCount++ % CUTOFF_SAMPLE] = hint;
     if (hintCount % 64 == 0) {
-      double[] sorted = Arrays.copyOf(hints, Math.min(hintCount, CUTOFF_SAMPLE));
+      double[] sorted = Arrays.copyOf(costHints, Math.min(hintCount, CUTOFF_SAMPLE));
       Arrays.sort(sorted);
       double high = sorted[(int) ((1 - LONG_SHARE) * sorted.length)];
-      cutoff = high > sorted[0] ? high : Double.POSITIVE_INFINITY;
+      longCutoff = high > sorted[0] ? high : Double.POSITIVE_INFINITY;
     }
   }
 
--- a/src/main/java/ternscale/policy/Membership.java
+++ b/src/main/java/ternscale/policy/Membership.java
@@ -14,27 +14,27 @@
   static final long TIMER = 1;
 
   /** Fraction of the maximum poll interval over which the fleet spreads its first calls. */
-  private static final double SPREAD = 0.8;
+  private static final double FIRST_CALL_SPREAD = 0.8;
 
   /** Longest back-off after a first failure, as a fraction of that interval; it doubles. */
-  private static final double BACK_OFF = 0.15;
+  private static final double INITIAL_BACKOFF = 0.15;
 
   /**
    * A change has to be received 6 s after discovery becomes reachable; the failed call and the next
    * one may wait for 2 s each.
    */
-  static final double MOST_BACK_OFF_MS = 1_500;
+  static final double MAX_BACKOFF_MS = 1_500;
 
   /**
    * A change has to be received 6 s after discovery becomes unresponsive, which is detected after
    * 2.5 s; the next call may wait for 2 s.
    */
-  static final double UNHEARD_MS = 1_000;
+  static final double MAX_UNRESPONSIVE_DELAY_MS = 1_000;
 
   private final Settings settings;
   private final Actions actions;
   private final Random random;
-  private boolean waiting;
+  private boolean isCallScheduled;
   private int failures;
 
   Membership(Settings settings, Actions actions, Random random) {
@@ -46,34 +46,34 @@
   void start() {
     if (settings.discovery() == Discovery.ON_REQUEST) {
       double slot = (settings.instanceIndex() + random.nextDouble()) / settings.instanceCount();
-      callIn(slot * SPREAD * settings.rules().maxPollIntervalMs());
+      scheduleCall(slot * FIRST_CALL_SPREAD * settings.rules().maxPollIntervalMs());
     }
   }
 
   void onTimer() {
-    if (waiting) {
-      waiting = false;
+    if (isCallScheduled) {
+      isCallScheduled = false;
       actions.watch(true);
     }
   }
 
   void onUpdate(MembersUpdate update) {
-    boolean silent = update.kind() == MembersUpdate.Kind.SILENT;
+    boolean isUnresponsive = update.kind() == MembersUpdate.Kind.SILENT;
     if (update.kind().hasEntries()) {
       failures = 0;
     } else if (settings.discovery() == Discovery.ON_REQUEST) {
       // A failure does not say whether a call or the subscription failed: call again later. This
       // also holds while the first call is still scheduled, which may be minutes away.
-      failures = silent ? failures : Math.min(failures + 1, 4);
-      double most =
-          BACK_OFF * settings.rules().maxPollIntervalMs() * (1 << Math.max(0, failures - 1));
-      most = Math.min(most, silent ? UNHEARD_MS : MOST_BACK_OFF_MS);
-      callIn(most * (1 + 2 * random.nextDouble()) / 3);
+      failures = isUnresponsive ? failures : Math.min(failures + 1, 4);
+      double maxDelayMs =
+          INITIAL_BACKOFF * settings.rules().maxPollIntervalMs() * (1 << Math.max(0, failures - 1));
+      maxDelayMs = Math.min(maxDelayMs, isUnresponsive ? MAX_UNRESPONSIVE_DELAY_MS : MAX_BACKOFF_MS);
+      scheduleCall(maxDelayMs * (1 + 2 * random.nextDouble()) / 3);
     }
   }
 
-  private void callIn(double delayMs) {
-    waiting = true;
+  private void scheduleCall(double delayMs) {
+    isCallScheduled = true;
     actions.setTimer(TIMER, delayMs);
   }
 }
--- a/src/main/java/ternscale/policy/Pending.java
+++ b/src/main/java/ternscale/policy/Pending.java
@@ -13,21 +13,21 @@
   record Attempt(int number, Host host, double sentAt, boolean isLong) {}
 
   final RequestInfo info;
-  final RequestClass type;
+  final RequestClass requestClass;
   final double arrivedAt;
   final boolean isLong;
-  final List<Attempt> out = new ArrayList<>(2);
+  final List<Attempt> openAttempts = new ArrayList<>(2);
   final List<Host> failedOn = new ArrayList<>(2);
-  int attempts;
+  int attemptCount;
   boolean ended;
   boolean held;
 
   /** Rule 2: the earliest attempt that may have run, or null; it restricts every later send. */
-  private Attempt ran;
+  private Attempt firstMayHaveRun;
 
-  Pending(RequestInfo info, RequestClass type, double readAt, boolean isLong) {
+  Pending(RequestInfo info, RequestClass requestClass, double readAt, boolean isLong) {
     this.info = info;
-    this.type = type;
+    this.requestClass = requestClass;
     this.arrivedAt = readAt - info.readDelayMs();
     this.isLong = isLong;
   }
@@ -37,51 +37,51 @@
     return info.costHint() > 0 ? info.costHint() : 1;
   }
 
-  double worth() {
-    return type.value() * work();
+  double value() {
+    return requestClass.value() * work();
   }
 
   /** Latency up to which a response has its full value. */
-  double aimMs() {
-    return type.targetLatencyMs() + type.targetLatencyPerCostMs() * info.costHint();
+  double targetLatencyMs() {
+    return requestClass.targetLatencyMs() + requestClass.targetLatencyPerCostMs() * info.costHint();
   }
 
-  double aimAt() {
-    return Math.min(arrivedAt + aimMs(), info.deadline());
+  double targetAt() {
+    return Math.min(arrivedAt + targetLatencyMs(), info.deadline());
   }
 
   /** Records an attempt that ended without proof that it never ran. */
-  void mayHaveRun(Attempt a) {
-    ran = ran == null || a.sentAt < ran.sentAt ? a : ran;
+  void noteMayHaveRun(Attempt a) {
+    firstMayHaveRun = firstMayHaveRun == null || a.sentAt < firstMayHaveRun.sentAt ? a : firstMayHaveRun;
   }
 
   boolean anyMayHaveRun() {
-    return ran != null || !out.isEmpty();
+    return firstMayHaveRun != null || !openAttempts.isEmpty();
   }
 
   /** Rule 2 (no effect twice): whether another attempt may be sent to this host now. */
-  boolean effectAllows(Host h, double now, double marginMs) {
-    if (type.effect() == Effect.REPEATABLE || !anyMayHaveRun()) {
+  boolean mayAttemptOn(Host h, double now, double marginMs) {
+    if (requestClass.effect() == Effect.REPEATABLE || !anyMayHaveRun()) {
       return true;
     }
-    return type.effect() != Effect.ONCE
-        && (ran == null || sameGroup(ran, h, now, marginMs))
-        && out.stream().allMatch(a -> sameGroup(a, h, now, marginMs));
+    return requestClass.effect() != Effect.ONCE
+        && (firstMayHaveRun == null || sharesDedupScope(firstMayHaveRun, h, now, marginMs))
+        && openAttempts.stream().allMatch(a -> sharesDedupScope(a, h, now, marginMs));
   }
 
-  private boolean sameGroup(Attempt first, Host h, double now, double marginMs) {
-    if (now - first.sentAt > type.dedupWindowMs() - marginMs) {
+  private boolean sharesDedupScope(Attempt first, Host h, double now, double marginMs) {
+    if (now - first.sentAt > requestClass.dedupWindowMs() - marginMs) {
       return false;
     }
-    return type.dedupScope() == DedupScope.ALL
-        || (type.dedupScope() == DedupScope.ZONE && first.host.zone == h.zone)
-        || (type.dedupScope() == DedupScope.CELL && first.host.cell == h.cell);
+    return requestClass.dedupScope() == DedupScope.ALL
+        || (requestClass.dedupScope() == DedupScope.ZONE && first.host.zone == h.zone)
+        || (requestClass.dedupScope() == DedupScope.CELL && first.host.cell == h.cell);
   }
 
   /** Rule 2: a rejection guarantees that a retry by the client has no second effect. */
-  boolean mayRefuse() {
-    return type.effect() == Effect.REPEATABLE
+  boolean mayReject() {
+    return requestClass.effect() == Effect.REPEATABLE
         || !anyMayHaveRun()
-        || (type.effect() == Effect.BY_KEY && type.dedupScope() == DedupScope.ALL);
+        || (requestClass.effect() == Effect.BY_KEY && requestClass.dedupScope() == DedupScope.ALL);
   }
 }
--- a/src/test/java/ternscale/adapter/WireTest.java
+++ b/src/test/java/ternscale/adapter/WireTest.java
@@ -235,7 +235,7 @@
     a.sendToPeer(4, "hi");
     a.sendToPeer(-1, "hi");
     a.log("two \"words\"");
-    writer.finish(3);
+    writer.finishReply(3);
     assertThat(out.toString(StandardCharsets.UTF_8).replace("\"who\":7", "W").lines())
         .containsExactly(
             "{\"msg\":\"Place\",W,\"call\":\"q\",\"host\":\"a:1\",\"give_up_after\":80.0}",
