--- a/src/test/java/ternscale/ArchitectureTest.java
+++ b/src/test/java/ternscale/ArchitectureTest.java
@@ -25,7 +25,7 @@
           .importPackages("ternscale");
 
   @Test
-  void policyAndApiKnowNothingOfTheAdapterOrJson() {
+  void policyAndApiDoNotDependOnAdapterOrJson() {
     noClasses()
         .that()
         .resideInAnyPackage("ternscale.policy..", "ternscale.api..")
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void apiHoldsNoDecisions() {
+  void apiDoesNotDependOnPolicy() {
     noClasses()
         .that()
         .resideInAPackage("ternscale.api..")
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void decisionsUseNoSystemTimeAndNoUnseededRandomness() {
+  void policyUsesNoSystemClockOrUnseededRandomness() {
     noClasses()
         .that()
         .resideInAnyPackage("ternscale.policy..", "ternscale.api..")
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void policyFilesOfTheDeployFileCoverAllDecisionsInFilesOfAReadableLength() throws IOException {
+  void deployFileListsAllPolicyFilesOfReadableLength() throws IOException {
     String deploy = Files.readString(Path.of("deploy/balancer.toml"));
     String list = deploy.substring(deploy.indexOf("policy ="));
     list = list.substring(0, list.indexOf(']'));
--- a/src/test/java/ternscale/adapter/AdapterTest.java
+++ b/src/test/java/ternscale/adapter/AdapterTest.java
@@ -41,17 +41,17 @@
   }
 
   @Test
-  void anEmptyInputEndsWell() {
+  void acceptsEmptyInput() {
     assertThat(run("")).isEqualTo(new Run(0, "", ""));
   }
 
   @Test
-  void anEmptyBatchIsEchoed() {
+  void answersEmptyBatch() {
     assertThat(run(MARK + EOB).out()).isEqualTo("{\"msg\":\"Yield\",\"frame\":4}\n");
   }
 
   @Test
-  void aRequestIsSentAndItsOutcomeEndsIt() {
+  void sendsRequestAndAcceptsItsOutcome() {
     Run r =
         run(
             MARK
@@ -73,14 +73,14 @@
   }
 
   @Test
-  void aKilledInstanceForgetsItsHosts() {
+  void killedInstanceForgetsItsHosts() {
     Run r = run(MARK + OPEN + LIST + "{\"msg\":\"Kill\",\"who\":3}\n" + OPEN + CALL + EOB);
     assertThat(r.err()).isEmpty();
     assertThat(r.out()).doesNotContain("Place").contains("Yield");
   }
 
   @Test
-  void aFailureOfTheModuleBecomesGiveIn() {
+  void reportsBalancerFailureAsGiveIn() {
     Run r = run(MARK + OPEN + LIST + CALL + CALL + EOB);
     assertThat(r.out()).contains("GiveIn").contains("q1").endsWith("\"frame\":4}\n");
   }
@@ -104,7 +104,7 @@
         "{\"msg\":\"Reminder\",\"who\":99999999999999999999,\"name\":1}|line 2|field who",
         "{\"msg\":\"Remi|line 2|invalid JSON",
       })
-  void badInputIsNamedAndEndsTheRun(String line, String where, String what) {
+  void namesInvalidInputAndEndsWithError(String line, String where, String what) {
     Run r = run(MARK + line + "\n" + EOB);
     assertThat(r.status()).isEqualTo(1);
     assertThat(r.err()).contains(where).contains(what).hasLineCount(1);
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void inputThatStopsInsideABatchIsAnError() {
+  void rejectsInputThatEndsInsideBatch() {
     Run r = run(MARK + OPEN);
     assertThat(r.status()).isEqualTo(1);
     assertThat(r.err()).contains("line 2").contains("inside the batch");
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void usage() {
+  void printsUsage() {
     assertThat(run("", "--help").status()).isZero();
     assertThat(run("", "--help").out()).contains("usage");
     Run wrong = run("", "fly");
--- a/src/test/java/ternscale/adapter/WireTest.java
+++ b/src/test/java/ternscale/adapter/WireTest.java
@@ -92,7 +92,7 @@
     "LATE, false, repeatable, Place",
     "RST, true, repeatable, ''",
   })
-  void everyOutcomeHasItsMeaning(String code, boolean closed, String effect, String action) {
+  void mapsEachOutcomeCode(String code, boolean closed, String effect, String action) {
     String second = members("delta", "b:1", "on") + ended("q", "a:1", code, closed);
     List<String> reply = replyTo(effect, second);
     if (action.isEmpty()) {
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void aStreamThatStartedIsLeftAlone() {
+  void takesNoActionAfterStreamStarted() {
     String started =
         event("Accepted", "\"call\":\"q\",\"shot\":0,\"host\":\"a:1\",\"time_taken\":3");
     assertThat(replyTo("repeatable", started + event("Reminder", "\"name\":2"))).isEmpty();
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void eventsThatAskForNothingAreReadOver() {
+  void acceptsEventsThatNeedNoAction() {
     String events =
         event("Memo", "\"sender\":1,\"data\":\"\\u00e9 7\"")
             + event(
@@ -125,14 +125,14 @@
   }
 
   @Test
-  void aClientThatLeftHasItsAttemptCancelled() {
+  void cancelsAttemptOfDisconnectedClient() {
     assertThat(replyTo("once", event("CancelledByClient", "\"call\":\"q\"")))
         .containsExactly("{\"msg\":\"Abandon\",\"who\":0,\"call\":\"q\",\"shot\":0}");
   }
 
   @ParameterizedTest
   @CsvSource({"delta, fading", "delta, off", "full, fading", "full, ''", "cached, ''"})
-  void nothingGoesToAHostThatLeaves(String scope, String availability) {
+  void sendsNothingToDrainingOrRemovedHost(String scope, String availability) {
     String list =
         availability.isEmpty()
             ? members(scope, "b:1", "on")
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void aBatchOfMegabytesIsAnsweredInOneReply() {
+  void answersLargeBatchInOneReply() {
     StringBuilder calls = new StringBuilder(mark(1, 100) + open("repeatable"));
     calls.append(members("full", "a:1", "on", "b:1", "on"));
     int n = 30_000;
@@ -162,7 +162,7 @@
   }
 
   @Test
-  void everySettingsKeyIsRead() throws IOException {
+  void readsEverySettingsKey() throws IOException {
     String text =
         "{'me':1,'instances':3,'az':1,'areas':['p','q'],'quantum':4,'over_share_worth':0.25,"
             + "'counted_by':'work','discovery':'on_request','extra':{'warm_keys':true},'clients':{'marks_retry':true},"
@@ -217,7 +217,7 @@
   }
 
   @Test
-  void everyActionIsWritten() throws IOException {
+  void writesEveryAction() throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     WireWriter writer = new WireWriter(out);
     Actions a = writer.forInstance(7);
--- a/src/test/java/ternscale/policy/Gateway.java
+++ b/src/test/java/ternscale/policy/FakeGateway.java
@@ -14,28 +14,28 @@
 import ternscale.api.Settings.RequestClass;
 
 /** A gateway for tests that records the balancer's actions as short lines. */
-final class Gateway implements Actions {
+final class FakeGateway implements Actions {
   record Sent(String request, String host, int attempt) {}
 
-  private static final Settings.Costs FREE = new Settings.Costs(0, 0, 0, 0, 0);
+  private static final Settings.Costs NO_COSTS = new Settings.Costs(0, 0, 0, 0, 0);
 
   final List<String> log = new ArrayList<>();
   final List<Sent> sent = new ArrayList<>();
   final LcStarBalancer balancer;
 
   /** Delay of the timer that was set last. */
-  double timerMs;
+  double timerDelayMs;
 
   double now = 1_000_000;
-  private int ids;
+  private int nextId;
   private final java.util.Map<String, Integer> attempts = new java.util.HashMap<>();
 
-  Gateway(Settings settings, long seed) {
+  FakeGateway(Settings settings, long seed) {
     balancer = new LcStarBalancer(settings, seed, now, this);
   }
 
-  static RequestClass type(Effect effect, DedupScope group) {
-    return new RequestClass(500, 0, 2000, 1, 0, effect, group, 1500, false);
+  static RequestClass requestClass(Effect effect, DedupScope dedupScope) {
+    return new RequestClass(500, 0, 2000, 1, 0, effect, dedupScope, 1500, false);
   }
 
   static Settings settings(Settings.Discovery discovery, RequestClass... classes) {
@@ -43,27 +43,27 @@
   }
 
   static Settings settings(
-      Settings.Discovery discovery, boolean hostsRememberKeys, RequestClass... classes) {
-    return settings(discovery, hostsRememberKeys, false, classes);
+      Settings.Discovery discovery, boolean hostsCacheByKey, RequestClass... classes) {
+    return settings(discovery, hostsCacheByKey, false, classes);
   }
 
   static Settings settings(
       Settings.Discovery discovery,
-      boolean hostsRememberKeys,
-      boolean marksRetries,
+      boolean hostsCacheByKey,
+      boolean clientsMarkRetries,
       RequestClass... classes) {
     return settings(
         discovery,
-        hostsRememberKeys,
-        marksRetries,
+        hostsCacheByKey,
+        clientsMarkRetries,
         new Settings.Objective(1, 0, 0, 0),
-        FREE,
+        NO_COSTS,
         classes);
   }
 
   /** Discovery answers on request, with this maximum time between updates. */
-  static Settings mustAskIn(double ms) {
-    Settings s = settings(Settings.Discovery.ON_REQUEST, type(Effect.REPEATABLE, DedupScope.ALL));
+  static Settings withMaxPollInterval(double maxPollIntervalMs) {
+    Settings s = settings(Settings.Discovery.ON_REQUEST, requestClass(Effect.REPEATABLE, DedupScope.ALL));
     return new Settings(
         s.instanceIndex(),
         s.instanceCount(),
@@ -78,7 +78,7 @@
         s.hostsCacheByKey(),
         s.clientsMarkRetries(),
         s.limits(),
-        new Settings.Rules(0.2, 10_000, 3, 3000, 1000, 20, ms),
+        new Settings.Rules(0.2, 10_000, 3, 3000, 1000, 20, maxPollIntervalMs),
         s.costs(),
         s.objective(),
         s.reportMode(),
@@ -87,10 +87,10 @@
   }
 
   /** The same settings for one gateway of several. */
-  static Settings oneOf(Settings s, int me, int instances) {
+  static Settings withInstance(Settings s, int instanceIndex, int instanceCount) {
     return new Settings(
-        me,
-        instances,
+        instanceIndex,
+        instanceCount,
         s.zone(),
         s.zoneCount(),
         s.tickMs(),
@@ -110,37 +110,37 @@
         s.weightMeaning());
   }
 
-  static Settings goal(Settings.Objective goal, RequestClass... classes) {
-    return settings(Settings.Discovery.PUSHED, false, false, goal, FREE, classes);
+  static Settings withObjective(Settings.Objective objective, RequestClass... classes) {
+    return settings(Settings.Discovery.PUSHED, false, false, objective, NO_COSTS, classes);
   }
 
-  static Settings crossing(double price, RequestClass... classes) {
+  static Settings withCrossZoneCost(double cost, RequestClass... classes) {
     return settings(
         Settings.Discovery.PUSHED,
         false,
         false,
         new Settings.Objective(1, 0, 0, 0),
-        new Settings.Costs(price, 0, 0, 0, 0),
+        new Settings.Costs(cost, 0, 0, 0, 0),
         classes);
   }
 
   /** Hosts cache by key, and a handshake has this cost. */
-  static Settings handshake(double price, RequestClass... classes) {
+  static Settings withHandshakeCost(double cost, RequestClass... classes) {
     return settings(
         Settings.Discovery.PUSHED,
         true,
         false,
         new Settings.Objective(1, 0, 0, 0),
-        new Settings.Costs(0, 0, 0, 0, price),
+        new Settings.Costs(0, 0, 0, 0, cost),
         classes);
   }
 
   private static Settings settings(
       Settings.Discovery discovery,
-      boolean hostsRememberKeys,
-      boolean marksRetries,
-      Settings.Objective goal,
-      Settings.Costs prices,
+      boolean hostsCacheByKey,
+      boolean clientsMarkRetries,
+      Settings.Objective objective,
+      Settings.Costs costs,
       RequestClass... classes) {
     return new Settings(
         0,
@@ -153,12 +153,12 @@
         1,
         false,
         discovery,
-        hostsRememberKeys,
-        marksRetries,
+        hostsCacheByKey,
+        clientsMarkRetries,
         new Settings.Limits(4, true, true, true, false, true, 1000, 100, 10_000, 1),
         new Settings.Rules(0.2, 10_000, 3, 3000, 1000, 20, 10_000),
-        prices,
-        goal,
+        costs,
+        objective,
         Settings.ReportMode.NONE,
         List.of(),
         Settings.WeightMeaning.NONE);
@@ -168,21 +168,21 @@
     return new HostEntry(id, 1, 0, zone, 0, availability, startedAt);
   }
 
-  void members(MembersUpdate.Kind kind, HostEntry... entries) {
+  void updateMembers(MembersUpdate.Kind kind, HostEntry... entries) {
     balancer.onMembers(now, new MembersUpdate(kind, 1, List.of(entries)));
   }
 
-  void hosts(int n) {
+  void addHosts(int n) {
     HostEntry[] entries = new HostEntry[n];
     for (int i = 0; i < n; i++) {
       entries[i] = host("h" + i, i % 2, Availability.UP, 0);
     }
-    members(MembersUpdate.Kind.FULL, entries);
+    updateMembers(MembersUpdate.Kind.FULL, entries);
   }
 
-  String request(int type, double hint) {
-    String id = "r" + ids++;
-    balancer.onRequest(now, new RequestInfo(id, type, 0, now + 2000, hint, null, false, false));
+  String request(int requestClass, double costHint) {
+    String id = "r" + nextId++;
+    balancer.onRequest(now, new RequestInfo(id, requestClass, 0, now + 2000, costHint, null, false, false));
     return id;
   }
 
@@ -191,7 +191,7 @@
         now, new Outcome(s.request, s.host, s.attempt, result, elapsed, ended, List.of()));
   }
 
-  long refusals() {
+  long rejections() {
     return log.stream().filter(l -> l.startsWith("refuse")).count();
   }
 
@@ -237,7 +237,7 @@
 
   @Override
   public void setTimer(long timer, double delayMs) {
-    timerMs = delayMs;
+    timerDelayMs = delayMs;
     log.add("timer " + timer);
   }
 
--- a/src/test/java/ternscale/policy/ChurnTest.java
+++ b/src/test/java/ternscale/policy/HostChurnTest.java
@@ -15,12 +15,12 @@
 import ternscale.api.Settings.Effect;
 
 /** Hosts that are replaced under new ids. */
-class ChurnTest {
+class HostChurnTest {
   private static final Settings SETTINGS =
-      Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.BY_KEY, DedupScope.ALL));
+      FakeGateway.settings(Discovery.PUSHED, FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ALL));
 
   @Test
-  void hostsThatHaveGoneAreForgotten() {
+  void forgetsRemovedHosts() {
     ColdStart coldStart = new ColdStart(SETTINGS.rules(), new Random(1), 0);
     HostTable table = new HostTable(SETTINGS, coldStart);
     for (int i = 0; i < 1_000; i++) {
@@ -29,21 +29,21 @@
               i % 2 == 0 ? Kind.FULL : Kind.DELTA,
               i,
               List.of(
-                  Gateway.host("h" + (i - 1), 0, Availability.GONE, 0),
-                  Gateway.host("h" + i, 0, Availability.UP, i))),
+                  FakeGateway.host("h" + (i - 1), 0, Availability.GONE, 0),
+                  FakeGateway.host("h" + i, 0, Availability.UP, i))),
           i);
     }
     assertThat(table.all).extracting(h -> h.id).containsExactly("h999");
   }
 
   @Test
-  void aLateOutcomeOfAHostThatHasGoneIsTakenNote() {
-    Gateway g = new Gateway(SETTINGS, 3);
-    g.hosts(1);
+  void retriesAfterLateOutcomeOfRemovedHost() {
+    FakeGateway g = new FakeGateway(SETTINGS, 3);
+    g.addHosts(1);
     g.request(0, 10);
-    g.members(Kind.FULL);
-    g.members(Kind.FULL);
-    g.members(Kind.DELTA, Gateway.host("other", 0, Availability.UP, 0));
+    g.updateMembers(Kind.FULL);
+    g.updateMembers(Kind.FULL);
+    g.updateMembers(Kind.DELTA, FakeGateway.host("other", 0, Availability.UP, 0));
     g.outcome(g.sent.get(0), Result.RESET, 15, false);
     // The request is retried on the other host, although the first one is no longer listed.
     assertThat(g.lastSent().host()).isEqualTo("other");
--- a/src/test/java/ternscale/policy/HostClockTest.java
+++ b/src/test/java/ternscale/policy/HostClockTest.java
@@ -18,11 +18,11 @@
   private static final double NOW = 100 * 3_600_000.0;
 
   private final Settings settings =
-      Gateway.settings(Settings.Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
+      FakeGateway.settings(Settings.Discovery.PUSHED, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
   private final ColdStart coldStart = new ColdStart(settings.rules(), new Random(1), NOW);
   private final HostTable hosts = new HostTable(settings, coldStart);
 
-  private void tell(MembersUpdate.Kind kind, String host, double startedAt, double now) {
+  private void updateHost(MembersUpdate.Kind kind, String host, double startedAt, double now) {
     HostEntry entry = new HostEntry(host, 1, 0, 0, 0, Availability.UP, startedAt);
     hosts.apply(new MembersUpdate(kind, 1, List.of(entry)), now);
   }
@@ -33,13 +33,13 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {-3_600_000, 3_600_000})
-  void aHostThatJustStartedIsColdForAsLongAsTheSettingsSay(double offMs) {
-    tell(MembersUpdate.Kind.FULL, "old", 0, NOW);
-    tell(MembersUpdate.Kind.DELTA, "new", NOW + offMs, NOW);
+  void hostIsColdForSlowStartTimeDespiteClockOffset(double offsetMs) {
+    updateHost(MembersUpdate.Kind.FULL, "old", 0, NOW);
+    updateHost(MembersUpdate.Kind.DELTA, "new", NOW + offsetMs, NOW);
     assertThat(coldStart.isCold(host("new"), NOW)).isTrue();
     // An update that repeats the same start time does not restart the slow start.
     double later = NOW + settings.rules().slowStartMs() / 2;
-    tell(MembersUpdate.Kind.DELTA, "new", NOW + offMs, later);
+    updateHost(MembersUpdate.Kind.DELTA, "new", NOW + offsetMs, later);
     assertThat(coldStart.isCold(host("new"), NOW + settings.rules().slowStartMs())).isFalse();
     assertThat(coldStart.isCold(host("old"), NOW)).isFalse();
   }
@@ -47,9 +47,9 @@
   /** The first list contains hosts that started at any time in the past. */
   @ParameterizedTest
   @ValueSource(strings = {"FULL", "DELTA"})
-  void whatTheFirstListTellsOfOldStartsHolds(MembersUpdate.Kind kind) {
-    tell(MembersUpdate.Kind.CACHED, "old", 0, NOW);
-    tell(kind, "new", NOW - 3_600_000, NOW);
+  void acceptsOldStartTimesOfFirstList(MembersUpdate.Kind kind) {
+    updateHost(MembersUpdate.Kind.CACHED, "old", 0, NOW);
+    updateHost(kind, "new", NOW - 3_600_000, NOW);
     assertThat(coldStart.isCold(host("new"), NOW)).isFalse();
   }
 }
--- a/src/test/java/ternscale/policy/LcStarBalancerTest.java
+++ b/src/test/java/ternscale/policy/LcStarBalancerTest.java
@@ -14,30 +14,30 @@
 import ternscale.api.Settings.Effect;
 
 class LcStarBalancerTest {
-  private static Gateway gateway(Effect effect, DedupScope group) {
-    return new Gateway(Gateway.settings(Discovery.PUSHED, Gateway.type(effect, group)), 7);
+  private static FakeGateway gateway(Effect effect, DedupScope dedupScope) {
+    return new FakeGateway(FakeGateway.settings(Discovery.PUSHED, FakeGateway.requestClass(effect, dedupScope)), 7);
   }
 
   @Test
-  void shortRequestsGoToTheFewestOwnInFlight() {
-    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
-    g.hosts(5);
+  void sendsShortRequestsToHostWithFewestInFlight() {
+    FakeGateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
+    g.addHosts(5);
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 5; i++) {
       g.request(0, 0);
       used.add(g.lastSent().host());
     }
     assertThat(used).hasSize(5);
-    Gateway.Sent third = g.sent.get(2);
+    FakeGateway.Sent third = g.sent.get(2);
     g.outcome(third, Result.OK, 20, true);
     g.request(0, 0);
     assertThat(g.lastSent().host()).isEqualTo(third.host());
   }
 
   @Test
-  void aLongRequestAvoidsHostsThatHoldOneOfOurLongOnes() {
-    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
-    g.hosts(2);
+  void longRequestSkipsHostsWithLongRequestInFlight() {
+    FakeGateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
+    g.addHosts(2);
     for (int i = 0; i < 64; i++) {
       g.request(0, i < 60 ? 1 : 50);
       g.outcome(g.lastSent(), Result.OK, 5, true);
@@ -58,13 +58,13 @@
   }
 
   @Test
-  void nothingNewGoesToADrainingOrGoneHost() {
-    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
-    g.hosts(3);
-    g.members(
+  void sendsNothingToDrainingOrRemovedHosts() {
+    FakeGateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
+    g.addHosts(3);
+    g.updateMembers(
         Kind.DELTA,
-        Gateway.host("h0", 0, Availability.DRAINING, 0),
-        Gateway.host("h1", 1, Availability.GONE, 0));
+        FakeGateway.host("h0", 0, Availability.DRAINING, 0),
+        FakeGateway.host("h1", 1, Availability.GONE, 0));
     for (int i = 0; i < 20; i++) {
       g.request(0, 0);
       assertThat(g.lastSent().host()).isEqualTo("h2");
@@ -72,9 +72,9 @@
   }
 
   @Test
-  void anUnsafeRequestIsNotRepeatedOnceItMayHaveRun() {
-    Gateway g = gateway(Effect.ONCE, DedupScope.ALL);
-    g.hosts(3);
+  void doesNotRetryUnrepeatableRequestThatMayHaveRun() {
+    FakeGateway g = gateway(Effect.ONCE, DedupScope.ALL);
+    g.addHosts(3);
     String id = g.request(0, 0);
     g.outcome(g.lastSent(), Result.ERROR, 20, false);
     assertThat(g.sentFor(id)).hasSize(1);
@@ -82,9 +82,9 @@
   }
 
   @Test
-  void anUnsafeRequestIsRepeatedAfterProofThatItNeverRan() {
-    Gateway g = gateway(Effect.ONCE, DedupScope.ALL);
-    g.hosts(3);
+  void retriesUnrepeatableRequestThatNeverRan() {
+    FakeGateway g = gateway(Effect.ONCE, DedupScope.ALL);
+    g.addHosts(3);
     String id = g.request(0, 0);
     g.outcome(g.lastSent(), Result.REJECTED, 1, false);
     assertThat(g.sentFor(id)).hasSize(2);
@@ -92,13 +92,13 @@
   }
 
   @Test
-  void aKeyedRequestStaysInItsGroup() {
+  void retriesKeyedRequestWithinItsDedupScope() {
     for (int seed = 0; seed < 20; seed++) {
-      Gateway g =
-          new Gateway(
-              Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.BY_KEY, DedupScope.ZONE)),
+      FakeGateway g =
+          new FakeGateway(
+              FakeGateway.settings(Discovery.PUSHED, FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ZONE)),
               seed);
-      g.hosts(8);
+      g.addHosts(8);
       String id = g.request(0, 0);
       int zone = Integer.parseInt(g.lastSent().host().substring(1)) % 2;
       g.outcome(g.lastSent(), Result.RESET, 20, false);
@@ -108,9 +108,9 @@
   }
 
   @Test
-  void lateAndCrossingEventsAreHarmless() {
-    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
-    g.hosts(2);
+  void ignoresLateAndOvertakenEvents() {
+    FakeGateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
+    g.addHosts(2);
     String id = g.request(0, 0);
     g.balancer.onClientDisconnected(g.now, id);
     g.balancer.onClientDisconnected(g.now, id);
@@ -123,8 +123,8 @@
   }
 
   @Test
-  void aRequestWithNoReadyHostIsAnsweredInTime() {
-    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
+  void rejectsRequestInTimeWhenNoHostIsReady() {
+    FakeGateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
     String id = g.request(0, 0);
     g.now += 496;
     g.balancer.onTimer(g.now, 2);
@@ -132,9 +132,9 @@
   }
 
   @Test
-  void misuseNamesTheValue() {
-    Gateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
-    g.hosts(2);
+  void errorsNameInvalidValue() {
+    FakeGateway g = gateway(Effect.REPEATABLE, DedupScope.ALL);
+    g.addHosts(2);
     assertThatThrownBy(() -> g.request(5, 0)).hasMessageContaining("5");
     g.balancer.close();
     assertThatThrownBy(() -> g.request(0, 0)).hasMessageContaining("closed");
--- a/src/test/java/ternscale/policy/DeparturesTest.java
+++ b/src/test/java/ternscale/policy/LcStarExtensionsTest.java
@@ -20,12 +20,12 @@
 import ternscale.api.Settings.Effect;
 
 /** Each extension of LC*, and the failure that it guards against, at a single balancer. */
-class DeparturesTest {
+class LcStarExtensionsTest {
   private static final Settings REPEATABLE =
-      Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
+      FakeGateway.settings(Discovery.PUSHED, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
 
   /** Serves requests one at a time and counts them by host. */
-  private static TreeMap<String, Integer> serve(Gateway g, int n, double gapMs) {
+  private static TreeMap<String, Integer> serve(FakeGateway g, int n, double gapMs) {
     TreeMap<String, Integer> byHost = new TreeMap<>();
     for (int i = 0; i < n; i++) {
       g.now += gapMs;
@@ -37,11 +37,11 @@
   }
 
   @Test
-  void aColdHostIsNotRushed() {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(4);
+  void limitsLoadOnColdHost() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(4);
     serve(g, 400, 20);
-    g.members(Kind.DELTA, Gateway.host("h3", 1, Availability.UP, g.now));
+    g.updateMembers(Kind.DELTA, FakeGateway.host("h3", 1, Availability.UP, g.now));
     TreeMap<String, Integer> byHost = serve(g, 100, 20);
     // A fifth to two fifths of a warm host's share of 25 in the first 2 s, with some slack.
     assertThat(byHost.getOrDefault("h3", 0)).isLessThanOrEqualTo(14);
@@ -50,16 +50,16 @@
   }
 
   @Test
-  void aDeployDoesNotStarveTheColdBudgetForGood() {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(4);
+  void keepsColdBudgetThroughDeployment() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(4);
     serve(g, 400, 20);
-    g.members(
+    g.updateMembers(
         Kind.DELTA,
-        Gateway.host("h0", 0, Availability.GONE, 0),
-        Gateway.host("h1", 1, Availability.GONE, 0),
-        Gateway.host("h2", 0, Availability.UP, g.now),
-        Gateway.host("h3", 1, Availability.UP, g.now));
+        FakeGateway.host("h0", 0, Availability.GONE, 0),
+        FakeGateway.host("h1", 1, Availability.GONE, 0),
+        FakeGateway.host("h2", 0, Availability.UP, g.now),
+        FakeGateway.host("h3", 1, Availability.UP, g.now));
     int before = g.sent.size();
     for (int i = 0; i < 400; i++) {
       g.now += 20;
@@ -77,37 +77,37 @@
   }
 
   @Test
-  void anErringHostIsSparedUnsafeRequestsOnly() {
+  void sendsOnlyRepeatableRequestsToErringHost() {
     Settings both =
-        Gateway.settings(
+        FakeGateway.settings(
             Discovery.PUSHED,
-            Gateway.type(Effect.REPEATABLE, DedupScope.ALL),
-            Gateway.type(Effect.ONCE, DedupScope.ALL));
-    Gateway g = new Gateway(both, 5);
-    g.hosts(3);
+            FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL),
+            FakeGateway.requestClass(Effect.ONCE, DedupScope.ALL));
+    FakeGateway g = new FakeGateway(both, 5);
+    g.addHosts(3);
     String id = g.request(0, 0);
-    String bad = g.lastSent().host();
+    String erring = g.lastSent().host();
     g.outcome(g.lastSent(), Result.ERROR, 1, false);
     assertThat(g.sentFor(id)).hasSize(2);
     g.outcome(g.lastSent(), Result.OK, 15, true);
-    Set<String> unsafe = new HashSet<>();
-    Set<String> safe = new HashSet<>();
+    Set<String> unrepeatable = new HashSet<>();
+    Set<String> repeatable = new HashSet<>();
     for (int i = 0; i < 30; i++) {
       g.request(1, 0);
-      unsafe.add(g.lastSent().host());
+      unrepeatable.add(g.lastSent().host());
       g.outcome(g.lastSent(), Result.OK, 15, true);
       g.request(0, 0);
-      safe.add(g.lastSent().host());
+      repeatable.add(g.lastSent().host());
       g.outcome(g.lastSent(), Result.OK, 15, true);
     }
-    assertThat(unsafe).doesNotContain(bad).hasSize(2);
-    assertThat(safe).contains(bad);
+    assertThat(unrepeatable).doesNotContain(erring).hasSize(2);
+    assertThat(repeatable).contains(erring);
   }
 
   @Test
-  void aHostThatRefusesConnectionsIsLeftOutAndComesBack() {
-    Gateway g = new Gateway(REPEATABLE, 5);
-    g.hosts(3);
+  void ejectsAndReinstatesHostThatRefusesConnections() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 5);
+    g.addHosts(3);
     g.request(0, 0);
     String down = g.lastSent().host();
     g.outcome(g.lastSent(), Result.CONNECT_FAILED, 1, false);
@@ -118,9 +118,9 @@
   }
 
   @Test
-  void ejectionNeverTakesMostOfTheFleet() {
-    Gateway g = new Gateway(REPEATABLE, 5);
-    g.hosts(5);
+  void ejectsOnlyMinorityOfHosts() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 5);
+    g.addHosts(5);
     for (int i = 0; i < 20; i++) {
       g.request(0, 0);
       g.outcome(g.lastSent(), Result.CONNECT_FAILED, 1, false);
@@ -133,43 +133,43 @@
     assertThat(used).hasSizeGreaterThanOrEqualTo(3);
   }
 
-  private static Settings.RequestClass worth(double worth) {
+  private static Settings.RequestClass classOfValue(double value) {
     return new Settings.RequestClass(
-        500, 0, 2000, worth, 0, Effect.REPEATABLE, DedupScope.ALL, 0, false);
+        500, 0, 2000, value, 0, Effect.REPEATABLE, DedupScope.ALL, 0, false);
   }
 
   /**
    * Serves at most this part of the requests in time, and counts the rejections of classes 0 and 1.
    */
-  private static int[] jam(Gateway g, int requests, double borne) {
-    g.hosts(4);
+  private static int[] overload(FakeGateway g, int requests, double servedPerRequest) {
+    g.addHosts(4);
     double queue = 0;
-    int[] refused = new int[2];
+    int[] rejected = new int[2];
     for (int i = 0; i < requests; i++) {
       g.now += 10;
-      queue = Math.max(0, queue - borne);
+      queue = Math.max(0, queue - servedPerRequest);
       int before = g.log.size();
       String id = g.request(i % 2, 10);
       if (g.log.subList(before, g.log.size()).contains("refuse " + id)) {
-        refused[i % 2]++;
+        rejected[i % 2]++;
       } else {
         g.outcome(g.lastSent(), Result.OK, ++queue > 10 ? 900 : 300, true);
       }
     }
-    return refused;
+    return rejected;
   }
 
   /** Incident i4d927b: hosts that rejected everything at once attracted a fifth of the sends. */
   @Test
-  void aHostThatTurnsAllAwayIsLeftOutButOneThatServesInBetweenIsNot() {
-    assertThat(sentToAFullHost(0)).isLessThan(12);
-    assertThat(sentToAFullHost(3)).isGreaterThan(100);
+  void ejectsHostThatRejectsAllButNotOneThatServesSome() {
+    assertThat(sentToRejectingHost(0)).isLessThan(12);
+    assertThat(sentToRejectingHost(3)).isGreaterThan(100);
   }
 
   /** Sends, for 600 requests, to one of four hosts, which serves every n-th of them or none. */
-  private static int sentToAFullHost(int servesEach) {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(4);
+  private static int sentToRejectingHost(int servesEvery) {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(4);
     int sent = 0;
     for (int i = 0; i < 600; i++) {
       g.now += 10;
@@ -177,20 +177,20 @@
       g.request(0, 10);
       while (g.sent.size() > before) {
         before = g.sent.size();
-        Gateway.Sent last = g.lastSent();
-        boolean full =
-            last.host().equals("h1") && (++sent > 0) && (servesEach == 0 || sent % servesEach > 0);
-        g.outcome(last, full ? Result.REJECTED : Result.OK, full ? 1 : 20, !full);
+        FakeGateway.Sent last = g.lastSent();
+        boolean rejects =
+            last.host().equals("h1") && (++sent > 0) && (servesEvery == 0 || sent % servesEvery > 0);
+        g.outcome(last, rejects ? Result.REJECTED : Result.OK, rejects ? 1 : 20, !rejects);
       }
     }
     return sent;
   }
 
   /** Share of 2,000 sequential requests sent to the other zone, given the zones' latencies. */
-  private static double crossed(double price, double ownMs, double otherMs) {
-    Gateway g =
-        new Gateway(Gateway.crossing(price, Gateway.type(Effect.REPEATABLE, DedupScope.ALL)), 7);
-    g.hosts(8);
+  private static double crossZoneShare(double cost, double ownMs, double otherMs) {
+    FakeGateway g =
+        new FakeGateway(FakeGateway.withCrossZoneCost(cost, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL)), 7);
+    g.addHosts(8);
     int crossed = 0;
     for (int i = 0; i < 4_000; i++) {
       g.now += 10;
@@ -204,30 +204,30 @@
 
   /** Low load at site records-cardiff: half of the requests crossed, nearly the whole loss. */
   @Test
-  void theOwnZoneComesFirstWhereCrossingIsPricedAndTheOwnZoneIsNotSlower() {
-    assertThat(crossed(0, 20, 20)).isBetween(0.3, 0.7);
-    assertThat(crossed(0.12, 20, 20)).isBetween(0.001, 0.1);
-    assertThat(crossed(0.12, 60, 20)).isGreaterThan(0.3);
+  void prefersOwnZoneUnlessSlowerWhereCrossingHasCost() {
+    assertThat(crossZoneShare(0, 20, 20)).isBetween(0.3, 0.7);
+    assertThat(crossZoneShare(0.12, 20, 20)).isBetween(0.001, 0.1);
+    assertThat(crossZoneShare(0.12, 60, 20)).isGreaterThan(0.3);
   }
 
   /** Overload at site records-cardiff: all of the class that the objective weights was shed. */
   @Test
-  void theCheapClassIsSparedAsFarAsTheGoalWeighsTheClassServedWorst() {
-    Settings.RequestClass cheap = worth(1);
-    Settings.RequestClass dear = worth(2);
-    int[] plain = jam(new Gateway(Gateway.settings(Discovery.PUSHED, cheap, dear), 5), 1_000, 0.7);
-    Settings goal = Gateway.goal(new Settings.Objective(.5, .2, .3, 0), cheap, dear);
-    int[] weighed = jam(new Gateway(goal, 5), 1_000, 0.7);
-    assertThat(plain[1]).isLessThan(20);
-    assertThat(weighed[0]).isLessThan(plain[0] - 50);
-    assertThat(weighed[1]).isGreaterThan(plain[1] + 50);
+  void shedsLowValueClassLessWhereObjectiveWeightsWorstClass() {
+    Settings.RequestClass lowValue = classOfValue(1);
+    Settings.RequestClass highValue = classOfValue(2);
+    int[] unweighted = overload(new FakeGateway(FakeGateway.settings(Discovery.PUSHED, lowValue, highValue), 5), 1_000, 0.7);
+    Settings objective = FakeGateway.withObjective(new Settings.Objective(.5, .2, .3, 0), lowValue, highValue);
+    int[] weighted = overload(new FakeGateway(objective, 5), 1_000, 0.7);
+    assertThat(unweighted[1]).isLessThan(20);
+    assertThat(weighted[0]).isLessThan(unweighted[0] - 50);
+    assertThat(weighted[1]).isGreaterThan(unweighted[1] + 50);
   }
 
   @Test
-  void aJamShedsTheCheapClassFirst() {
-    Gateway g = new Gateway(Gateway.settings(Discovery.PUSHED, worth(1), worth(9)), 5);
-    int[] refused = jam(g, 400, 0);
-    assertThat(refused[0]).isGreaterThan(100).isGreaterThan(refused[1]);
+  void shedsLowValueClassFirst() {
+    FakeGateway g = new FakeGateway(FakeGateway.settings(Discovery.PUSHED, classOfValue(1), classOfValue(9)), 5);
+    int[] rejected = overload(g, 400, 0);
+    assertThat(rejected[0]).isGreaterThan(100).isGreaterThan(rejected[1]);
     int served = 0;
     for (int i = 0; i < 2_000; i++) {
       g.now += 10;
@@ -242,9 +242,9 @@
   }
 
   @Test
-  void retriesAreBudgeted() {
-    Gateway g = new Gateway(REPEATABLE, 5);
-    g.hosts(9);
+  void limitsRetriesToBudget() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 5);
+    g.addHosts(9);
     for (int i = 0; i < 100; i++) {
       g.now += 1_000;
       g.request(0, 10);
@@ -257,14 +257,14 @@
   }
 
   @Test
-  void gatewaysAgreeOnTheHostOfAKeyAndDoNotHerdWithoutKeys() {
+  void gatewaysAgreeOnHostOfKeyAndSpreadWithoutKeys() {
     Settings keyed =
-        Gateway.settings(Discovery.PUSHED, true, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
+        FakeGateway.settings(Discovery.PUSHED, true, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
     Set<String> forKey = new HashSet<>();
     Set<String> without = new HashSet<>();
     for (int seed = 0; seed < 20; seed++) {
-      Gateway g = new Gateway(keyed, seed);
-      g.hosts(10);
+      FakeGateway g = new FakeGateway(keyed, seed);
+      g.addHosts(10);
       g.balancer.onRequest(
           g.now, new RequestInfo("k", 0, 0, g.now + 1_000, 0, "invoice-8", false, false));
       forKey.add(g.lastSent().host());
@@ -276,29 +276,29 @@
   }
 
   @Test
-  void discoveryIsAskedOnceAndBacksOffWhenItFails() {
-    Gateway g =
-        new Gateway(
-            Gateway.settings(
-                Discovery.ON_REQUEST, Gateway.type(Effect.REPEATABLE, DedupScope.ALL)),
+  void callsDiscoveryOnceAndBacksOffAfterFailure() {
+    FakeGateway g =
+        new FakeGateway(
+            FakeGateway.settings(
+                Discovery.ON_REQUEST, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL)),
             5);
-    g.hosts(2);
+    g.addHosts(2);
     assertThat(g.log).contains("timer 1").doesNotContain("watch true");
     g.balancer.onTimer(g.now, Membership.TIMER);
     g.balancer.onTimer(g.now, Membership.TIMER);
     assertThat(g.log.stream().filter("watch true"::equals)).hasSize(1);
     long timers = g.log.stream().filter("timer 1"::equals).count();
-    g.members(Kind.FAILED);
+    g.updateMembers(Kind.FAILED);
     assertThat(g.log.stream().filter("timer 1"::equals)).hasSize((int) timers + 1);
     g.balancer.onTimer(g.now, Membership.TIMER);
     assertThat(g.log.stream().filter("watch true"::equals)).hasSize(2);
   }
 
   /** Time within which a change has to be received. */
-  private static final double TERM_MS = 6_000;
+  private static final double CHANGE_DEADLINE_MS = 6_000;
 
   /** Maximum time of a call in discovery's queue. */
-  private static final double QUEUE_MS = 2_000;
+  private static final double CALL_WAIT_MS = 2_000;
 
   /**
    * Changes missed by an unresponsive subscription have to be received 6 s after it stopped
@@ -310,26 +310,26 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {500, 5_000, 10_000, 30_000, 120_000, 1_200_000})
-  void theCallAfterAFailureIsNeverLaterThanTheTermsAllowAndStaysSpread(double mustAskInMs) {
+  void callAfterFailureIsInTimeAndSpread(double maxPollIntervalMs) {
     Set<Double> delays = new HashSet<>();
-    double leastMs = Math.min(0.04 * mustAskInMs, 300);
+    double minDelayMs = Math.min(0.04 * maxPollIntervalMs, 300);
     for (int seed = 0; seed < 50; seed++) {
-      Gateway g = new Gateway(Gateway.mustAskIn(mustAskInMs), seed);
-      g.hosts(2);
-      for (int again = 0; again < 6; again++) {
-        g.members(Kind.SILENT);
-        assertThat(g.timerMs).isBetween(leastMs, TERM_MS - 2_500 - QUEUE_MS - 500);
-        delays.add(g.timerMs);
+      FakeGateway g = new FakeGateway(FakeGateway.withMaxPollInterval(maxPollIntervalMs), seed);
+      g.addHosts(2);
+      for (int repeat = 0; repeat < 6; repeat++) {
+        g.updateMembers(Kind.SILENT);
+        assertThat(g.timerDelayMs).isBetween(minDelayMs, CHANGE_DEADLINE_MS - 2_500 - CALL_WAIT_MS - 500);
+        delays.add(g.timerDelayMs);
         g.balancer.onTimer(g.now, Membership.TIMER);
       }
-      for (int again = 0; again < 6; again++) {
-        g.members(Kind.FAILED);
-        assertThat(g.timerMs).isBetween(leastMs, TERM_MS - 2 * QUEUE_MS - 500);
-        delays.add(g.timerMs);
+      for (int repeat = 0; repeat < 6; repeat++) {
+        g.updateMembers(Kind.FAILED);
+        assertThat(g.timerDelayMs).isBetween(minDelayMs, CHANGE_DEADLINE_MS - 2 * CALL_WAIT_MS - 500);
+        delays.add(g.timerDelayMs);
         g.balancer.onTimer(g.now, Membership.TIMER);
       }
-      g.members(Kind.SILENT);
-      assertThat(g.timerMs).isBetween(leastMs, TERM_MS - 2_500 - QUEUE_MS - 500);
+      g.updateMembers(Kind.SILENT);
+      assertThat(g.timerDelayMs).isBetween(minDelayMs, CHANGE_DEADLINE_MS - 2_500 - CALL_WAIT_MS - 500);
     }
     assertThat(delays).hasSizeGreaterThan(500);
   }
@@ -337,12 +337,12 @@
   /** The first call is spread over minutes here; a failure before it must not wait for it. */
   @ParameterizedTest
   @ValueSource(strings = {"FAILED", "SILENT"})
-  void aFailureWhileTheFirstCallIsStillToComeIsFollowedByACallInTime(Kind kind) {
-    Gateway g = new Gateway(Gateway.mustAskIn(1_200_000), 7);
-    g.hosts(2);
-    assertThat(g.timerMs).isGreaterThan(TERM_MS);
-    g.members(kind);
-    assertThat(g.timerMs).isLessThanOrEqualTo(TERM_MS - 2 * QUEUE_MS);
+  void callsInTimeAfterFailureBeforeFirstCall(Kind kind) {
+    FakeGateway g = new FakeGateway(FakeGateway.withMaxPollInterval(1_200_000), 7);
+    g.addHosts(2);
+    assertThat(g.timerDelayMs).isGreaterThan(CHANGE_DEADLINE_MS);
+    g.updateMembers(kind);
+    assertThat(g.timerDelayMs).isLessThanOrEqualTo(CHANGE_DEADLINE_MS - 2 * CALL_WAIT_MS);
     g.balancer.onTimer(g.now, Membership.TIMER);
     assertThat(g.log.stream().filter("watch true"::equals)).hasSize(1);
     // The timer of the first call still expires, as timers cannot be cancelled, and has no effect.
@@ -351,20 +351,20 @@
   }
 
   @Test
-  void aHopelesslyHeavyRequestIsRefusedAtOnce() {
-    Gateway g = new Gateway(REPEATABLE, 5);
-    g.hosts(2);
+  void rejectsInfeasibleRequestAtOnce() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 5);
+    g.addHosts(2);
     String id = g.request(0, 2_100);
     assertThat(g.log).contains("refuse " + id);
     assertThat(g.sentFor(g.request(0, 900))).hasSize(1);
   }
 
   @Test
-  void idleConnectionsDoNotFillTheHostsTables() {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(4);
+  void closesIdleConnections() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(4);
     g.request(0, 10);
-    Gateway.Sent idle = g.lastSent();
+    FakeGateway.Sent idle = g.lastSent();
     g.outcome(idle, Result.OK, 15, true);
     g.now += 500;
     g.request(0, 10);
@@ -372,7 +372,7 @@
     assertThat(g.log).noneMatch(l -> l.startsWith("closeIdle"));
     g.now += 5_000;
     g.request(0, 10);
-    Gateway.Sent busy = g.lastSent();
+    FakeGateway.Sent busy = g.lastSent();
     assertThat(g.log).contains("closeIdle " + idle.host());
     g.log.clear();
     g.now += 1_500;
@@ -381,9 +381,9 @@
   }
 
   /** Rejections among 400 requests of the second latency, after 200 requests of the first. */
-  private static long refusedWhenTaking(double usualMs, double thenMs) {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(4);
+  private static long rejectionsAtLatency(double usualMs, double thenMs) {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(4);
     for (int i = 0; i < 600; i++) {
       g.now += 20;
       int before = g.sent.size();
@@ -392,45 +392,45 @@
         g.outcome(g.lastSent(), Result.OK, i < 200 ? usualMs : thenMs, true);
       }
     }
-    return g.refusals();
+    return g.rejections();
   }
 
   @Test
-  void queuesAreSeenWhileTheAimIsStillFar() {
-    assertThat(refusedWhenTaking(50, 300)).isGreaterThan(100);
-    assertThat(refusedWhenTaking(260, 300)).isZero();
+  void detectsQueuesWellBelowLatencyTarget() {
+    assertThat(rejectionsAtLatency(50, 300)).isGreaterThan(100);
+    assertThat(rejectionsAtLatency(260, 300)).isZero();
   }
 
   /** Rejections while seven responses in 25 are late, for clients that do or do not retry. */
-  private static long refusedWhileSomeAreLate(boolean repeats) {
+  private static long rejectionsWithLateResponses(boolean clientsRetry) {
     Settings marked =
-        Gateway.settings(
-            Discovery.PUSHED, false, true, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
-    Gateway g = new Gateway(marked, 3);
-    g.hosts(4);
+        FakeGateway.settings(
+            Discovery.PUSHED, false, true, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
+    FakeGateway g = new FakeGateway(marked, 3);
+    g.addHosts(4);
     for (int i = 0; i < 1200; i++) {
       g.now += 20;
       int before = g.sent.size();
       g.balancer.onRequest(
-          g.now, new RequestInfo("c" + i, 0, 0, g.now + 2000, 10, null, false, repeats));
+          g.now, new RequestInfo("c" + i, 0, 0, g.now + 2000, 10, null, false, clientsRetry));
       if (g.sent.size() > before) {
         boolean late = i >= 200 && i * 7 % 25 < 7;
         g.outcome(g.lastSent(), Result.OK, late ? 600 : 50, true);
       }
     }
-    return g.refusals();
+    return g.rejections();
   }
 
   /** Rejections while all responses are late, with this much of it caused by the gateway. */
-  private static long refusedWhileBehind(double ownMs) {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(4);
+  private static long rejectionsWithGatewayDelay(double gatewayDelayMs) {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(4);
     for (int i = 0; i < 600; i++) {
       g.now += 20;
       int before = g.sent.size();
       g.request(0, 10);
       if (g.sent.size() > before) {
-        Gateway.Sent s = g.lastSent();
+        FakeGateway.Sent s = g.lastSent();
         boolean late = i >= 200;
         g.balancer.onOutcome(
             g.now,
@@ -442,32 +442,32 @@
                 late ? 450 : 50,
                 true,
                 List.of(),
-                late ? ownMs : 0));
+                late ? gatewayDelayMs : 0));
       }
     }
-    return g.refusals();
+    return g.rejections();
   }
 
   @Test
-  void timeLostInTheGatewayItselfIsNoSignOfQueuesAtTheHosts() {
-    assertThat(refusedWhileBehind(0)).isGreaterThan(100);
-    assertThat(refusedWhileBehind(200)).isGreaterThan(100);
-    assertThat(refusedWhileBehind(400)).isZero();
+  void gatewayDelayDoesNotIndicateQueuesAtHosts() {
+    assertThat(rejectionsWithGatewayDelay(0)).isGreaterThan(100);
+    assertThat(rejectionsWithGatewayDelay(200)).isGreaterThan(100);
+    assertThat(rejectionsWithGatewayDelay(400)).isZero();
   }
 
   @Test
-  void lateAnswersRefuseLessWhereClientsDoNotRepeat() {
-    long calm = refusedWhileSomeAreLate(false);
-    assertThat(refusedWhileSomeAreLate(true)).isGreaterThan(2 * calm + 20);
+  void shedsLessWhereClientsDoNotRetry() {
+    long withoutRetries = rejectionsWithLateResponses(false);
+    assertThat(rejectionsWithLateResponses(true)).isGreaterThan(2 * withoutRetries + 20);
   }
 
   @Test
-  void aRestartUnderTheSameIdIsColdAgain() {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(4);
+  void treatsRestartUnderSameIdAsCold() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(4);
     serve(g, 400, 20);
     for (int restart = 0; restart < 2; restart++) {
-      g.members(Kind.DELTA, Gateway.host("h3", 1, Availability.UP, g.now));
+      g.updateMembers(Kind.DELTA, FakeGateway.host("h3", 1, Availability.UP, g.now));
       assertThat(serve(g, 100, 20).getOrDefault("h3", 0)).isLessThanOrEqualTo(14);
       g.now += 20_000;
       assertThat(serve(g, 100, 20).get("h3")).isGreaterThan(14);
@@ -477,20 +477,20 @@
 
   /** Incident L45fba6: the load of a removed fleet was attributed to its last hosts. */
   @Test
-  void aFleetThatReturnsAfterItVanishedIsNotRushed() {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(20);
+  void limitsLoadOnFleetThatReturnsAfterRemoval() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(20);
     serve(g, 2_000, 5);
     for (int i = 0; i < 20; i++) {
       g.now += 300;
       g.request(0, 10);
-      g.members(Kind.DELTA, Gateway.host("h" + i, i % 2, Availability.GONE, 0));
+      g.updateMembers(Kind.DELTA, FakeGateway.host("h" + i, i % 2, Availability.GONE, 0));
     }
     g.now += 1_000;
-    g.members(
+    g.updateMembers(
         Kind.DELTA,
-        Gateway.host("n0", 0, Availability.UP, g.now),
-        Gateway.host("n1", 1, Availability.UP, g.now));
+        FakeGateway.host("n0", 0, Availability.UP, g.now),
+        FakeGateway.host("n1", 1, Availability.UP, g.now));
     int before = g.sent.size();
     for (int i = 0; i < 400; i++) {
       g.now += 5;
@@ -502,7 +502,7 @@
   }
 
   /** Serves requests one at a time until one goes to this host, and leaves that one in flight. */
-  private static Gateway.Sent leaveOneAt(Gateway g, String host) {
+  private static FakeGateway.Sent leaveRequestAt(FakeGateway g, String host) {
     for (int i = 0; i < 200; i++) {
       g.now += 5;
       g.request(0, 10);
@@ -515,9 +515,9 @@
   }
 
   @Test
-  void aHungHostKeepsItsLongFlagUntilItTimesOutAndTwoTimeOutsEjectIt() {
-    Gateway g = new Gateway(REPEATABLE, 5);
-    g.hosts(3);
+  void hungHostKeepsLongFlagUntilTimeoutAndIsEjectedAfterTwo() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 5);
+    g.addHosts(3);
     for (int i = 0; i < 128; i++) {
       g.now += 20;
       g.request(0, i % 30 == 0 ? 100 : 10);
@@ -526,7 +526,7 @@
     // An idle minute decays the statistics, as at a gateway of a large fleet.
     g.now += 60_000;
     g.request(0, 1_000);
-    Gateway.Sent hung = g.lastSent();
+    FakeGateway.Sent hung = g.lastSent();
     for (int i = 0; i < 5; i++) {
       g.now += 20;
       g.request(0, 1_000);
@@ -536,24 +536,24 @@
     g.now += 1_500;
     g.outcome(hung, Result.TIMEOUT, 1_900, true);
     // One timeout may come from a long request: the host is used again, as its flag is clear.
-    g.outcome(leaveOneAt(g, hung.host()), Result.OK, 15, true);
-    g.outcome(leaveOneAt(g, hung.host()), Result.TIMEOUT, 1_900, true);
+    g.outcome(leaveRequestAt(g, hung.host()), Result.OK, 15, true);
+    g.outcome(leaveRequestAt(g, hung.host()), Result.TIMEOUT, 1_900, true);
     assertThat(serve(g, 50, 20)).doesNotContainKey(hung.host());
     g.now += 20_000;
     assertThat(serve(g, 50, 20)).containsKey(hung.host());
   }
 
   @Test
-  void aZoneThatReturnsTogetherIsNotRushed() {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(6);
+  void limitsLoadOnZoneThatReturnsAtOnce() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(6);
     serve(g, 600, 20);
     for (int i = 1; i < 6; i += 2) {
-      g.members(Kind.DELTA, Gateway.host("h" + i, 1, Availability.GONE, 0));
+      g.updateMembers(Kind.DELTA, FakeGateway.host("h" + i, 1, Availability.GONE, 0));
     }
     assertThat(serve(g, 250, 20).keySet()).containsOnly("h0", "h2", "h4");
     for (int i = 1; i < 6; i += 2) {
-      g.members(Kind.DELTA, Gateway.host("h" + i, 1, Availability.UP, g.now));
+      g.updateMembers(Kind.DELTA, FakeGateway.host("h" + i, 1, Availability.UP, g.now));
     }
     TreeMap<String, Integer> first = serve(g, 100, 20);
     // Warm hosts served a third of 50/s in between: at most 1.05 x 0.2 to 0.36 of it for 2 s.
@@ -565,37 +565,37 @@
   }
 
   @Test
-  void aPausingHostIsChosenLessAlsoBetweenItsPauses() {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(4);
-    int paused = 0;
-    int steady = 0;
+  void prefersSteadyHostsAlsoBetweenPauses() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(4);
+    int sentToPausingHost = 0;
+    int sentToSteadyHosts = 0;
     for (int i = 0; i < 1_200; i++) {
       g.now += 20;
       g.request(0, 10);
-      boolean pauses = g.lastSent().host().equals("h1");
+      boolean isPausingHost = g.lastSent().host().equals("h1");
       // Every other second h1 takes 15 times as long; in between its low count would win ties.
-      boolean pause = i / 50 % 2 == 1;
-      g.outcome(g.lastSent(), Result.OK, pauses && pause ? 225 : 15, true);
-      paused += i >= 200 && !pause && pauses ? 1 : 0;
-      steady += i >= 200 && !pause && !pauses ? 1 : 0;
+      boolean isPaused = i / 50 % 2 == 1;
+      g.outcome(g.lastSent(), Result.OK, isPausingHost && isPaused ? 225 : 15, true);
+      sentToPausingHost += i >= 200 && !isPaused && isPausingHost ? 1 : 0;
+      sentToSteadyHosts += i >= 200 && !isPaused && !isPausingHost ? 1 : 0;
     }
-    assertThat(paused).isPositive().isLessThan(steady / 3 / 2);
+    assertThat(sentToPausingHost).isPositive().isLessThan(sentToSteadyHosts / 3 / 2);
   }
 
   @Test
-  void aHostThatSaysNothingToAnyoneIsPassedOverBeforeAndAfterItsTimeOuts() {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(2);
+  void skipsUnresponsiveHostBeforeAndAfterTimeouts() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(2);
     g.request(0, 10);
-    Gateway.Sent hung = g.lastSent();
+    FakeGateway.Sent hung = g.lastSent();
     for (int i = 0; i < 40; i++) {
       g.now += 20;
       g.request(0, 10);
       g.request(0, 10);
       // By its count alone, the second would go to the hung host: both have one in flight then.
-      Gateway.Sent[] two = {g.sent.get(g.sent.size() - 2), g.lastSent()};
-      for (Gateway.Sent s : two) {
+      FakeGateway.Sent[] two = {g.sent.get(g.sent.size() - 2), g.lastSent()};
+      for (FakeGateway.Sent s : two) {
         if (i > 13) {
           assertThat(s.host()).isNotEqualTo(hung.host());
         }
@@ -605,7 +605,7 @@
       }
     }
     g.outcome(hung, Result.TIMEOUT, 800, true);
-    for (Gateway.Sent s : java.util.List.copyOf(g.sent)) {
+    for (FakeGateway.Sent s : java.util.List.copyOf(g.sent)) {
       if (s.host().equals(hung.host())) {
         g.outcome(s, Result.TIMEOUT, 800, true);
       }
@@ -623,15 +623,15 @@
   }
 
   @Test
-  void heavyAnswersThatTakeWhatTheyWeighAreNoJam() {
-    Gateway g = new Gateway(REPEATABLE, 3);
-    g.hosts(8);
+  void expensiveRequestsDoNotIndicateOverload() {
+    FakeGateway g = new FakeGateway(REPEATABLE, 3);
+    g.addHosts(8);
     for (int i = 0; i < 600; i++) {
       g.now += 20;
-      boolean heavy = i % 2 == 1;
-      g.request(0, heavy ? 400 : 100);
-      g.outcome(g.lastSent(), Result.OK, heavy ? 400 : 100, true);
+      boolean expensive = i % 2 == 1;
+      g.request(0, expensive ? 400 : 100);
+      g.outcome(g.lastSent(), Result.OK, expensive ? 400 : 100, true);
     }
-    assertThat(g.refusals()).isZero();
+    assertThat(g.rejections()).isZero();
   }
 }
--- a/src/test/java/ternscale/policy/RuleCheckTest.java
+++ b/src/test/java/ternscale/policy/RuleCheckTest.java
@@ -25,18 +25,18 @@
 /** Sends random valid events to the balancer and checks every action against the rules. */
 class RuleCheckTest {
   private static final Settings SETTINGS =
-      Gateway.settings(
+      FakeGateway.settings(
           Discovery.PUSHED,
-          Gateway.type(Effect.REPEATABLE, DedupScope.ALL),
-          Gateway.type(Effect.BY_KEY, DedupScope.ZONE),
-          Gateway.type(Effect.ONCE, DedupScope.ALL));
+          FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL),
+          FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ZONE),
+          FakeGateway.requestClass(Effect.ONCE, DedupScope.ALL));
 
-  private static final class Try {
+  private static final class Attempt {
     final HostEntry host;
     final double sentAt;
     Result result;
 
-    Try(HostEntry host, double sentAt) {
+    Attempt(HostEntry host, double sentAt) {
       this.host = host;
       this.sentAt = sentAt;
     }
@@ -46,12 +46,12 @@
     }
   }
 
-  private static final class Owed {
+  private static final class TrackedRequest {
     final RequestInfo info;
-    final List<Try> tries = new ArrayList<>();
+    final List<Attempt> attempts = new ArrayList<>();
     boolean answered;
 
-    Owed(RequestInfo info) {
+    TrackedRequest(RequestInfo info) {
       this.info = info;
     }
 
@@ -61,34 +61,34 @@
   }
 
   private static final class Checker implements Actions {
-    final Map<String, HostEntry> listed = new HashMap<>();
-    final Map<String, Owed> requests = new HashMap<>();
-    final List<Owed> open = new ArrayList<>();
-    final List<String> script = new ArrayList<>();
+    final Map<String, HostEntry> listedHosts = new HashMap<>();
+    final Map<String, TrackedRequest> requests = new HashMap<>();
+    final List<TrackedRequest> openRequests = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
     final List<double[]> timers = new ArrayList<>();
     double now = 5_000;
 
     @Override
     public void send(String requestId, String host, double timeoutMs) {
-      script.add("send " + requestId + " " + host);
-      Owed r = requests.get(requestId);
-      HostEntry h = listed.get(host);
+      actions.add("send " + requestId + " " + host);
+      TrackedRequest r = requests.get(requestId);
+      HostEntry h = listedHosts.get(host);
       assertThat(r.answered).as("final response before this send").isFalse();
       assertThat(now).isLessThan(r.info.deadline());
-      assertThat(r.tries.size()).isLessThan(SETTINGS.limits().maxAttempts());
+      assertThat(r.attempts.size()).isLessThan(SETTINGS.limits().maxAttempts());
       assertThat(h.availability()).isEqualTo(Availability.UP);
-      for (Try t : r.tries) {
+      for (Attempt t : r.attempts) {
         if (t.mayHaveRun() && r.type().effect() != Effect.REPEATABLE) {
           assertThat(r.type().effect()).isEqualTo(Effect.BY_KEY);
           assertThat(h.zone()).isEqualTo(t.host.zone());
           assertThat(now - t.sentAt).isLessThan(r.type().dedupWindowMs());
         }
       }
-      r.tries.add(new Try(h, now));
+      r.attempts.add(new Attempt(h, now));
     }
 
-    private void answer(String requestId) {
-      Owed r = requests.get(requestId);
+    private void recordFinalResponse(String requestId) {
+      TrackedRequest r = requests.get(requestId);
       assertThat(r.answered).as("second final response").isFalse();
       assertThat(now).isLessThanOrEqualTo(r.info.deadline() + SETTINGS.rules().responseGraceMs());
       r.answered = true;
@@ -96,24 +96,24 @@
 
     @Override
     public void reject(String requestId, double retryAfterMs) {
-      script.add("refuse " + requestId);
-      Owed r = requests.get(requestId);
+      actions.add("refuse " + requestId);
+      TrackedRequest r = requests.get(requestId);
       if (r.type().effect() != Effect.REPEATABLE) {
-        assertThat(r.tries).noneMatch(Try::mayHaveRun);
+        assertThat(r.attempts).noneMatch(Attempt::mayHaveRun);
       }
-      answer(requestId);
+      recordFinalResponse(requestId);
     }
 
     @Override
     public void fail(String requestId) {
-      script.add("fail " + requestId);
-      answer(requestId);
+      actions.add("fail " + requestId);
+      recordFinalResponse(requestId);
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-      script.add("cancel " + requestId + " " + attempt);
-      assertThat(requests.get(requestId).tries).hasSizeGreaterThan(attempt);
+      actions.add("cancel " + requestId + " " + attempt);
+      assertThat(requests.get(requestId).attempts).hasSizeGreaterThan(attempt);
     }
 
     @Override
@@ -140,19 +140,19 @@
     public void log(String line) {}
   }
 
-  private static List<String> play(long seed) {
+  private static List<String> simulate(long seed) {
     Random random = new Random(seed);
     Checker c = new Checker();
     LcStarBalancer balancer = new LcStarBalancer(SETTINGS, seed, c.now, c);
     for (int i = 0; i < 12; i++) {
-      list(c, balancer, random, i);
+      updateHost(c, balancer, random, i);
     }
     int ids = 0;
     for (int step = 0; step < 6_000; step++) {
       c.now += random.nextInt(12);
-      due(c, balancer);
-      int what = random.nextInt(100);
-      if (what < 45) {
+      runDueEvents(c, balancer);
+      int choice = random.nextInt(100);
+      if (choice < 45) {
         RequestInfo info =
             new RequestInfo(
                 "q" + ids++,
@@ -163,16 +163,16 @@
                 "k" + random.nextInt(9),
                 false,
                 false);
-        Owed r = new Owed(info);
+        TrackedRequest r = new TrackedRequest(info);
         c.requests.put(info.id(), r);
-        c.open.add(r);
+        c.openRequests.add(r);
         balancer.onRequest(c.now, info);
-      } else if (what < 95) {
-        outcome(c, balancer, random);
-      } else if (what < 97) {
-        list(c, balancer, random, random.nextInt(14));
-      } else if (!c.open.isEmpty()) {
-        Owed r = c.open.get(random.nextInt(c.open.size()));
+      } else if (choice < 95) {
+        endRandomAttempt(c, balancer, random);
+      } else if (choice < 97) {
+        updateHost(c, balancer, random, random.nextInt(14));
+      } else if (!c.openRequests.isEmpty()) {
+        TrackedRequest r = c.openRequests.get(random.nextInt(c.openRequests.size()));
         if (!r.answered) {
           r.answered = true;
           balancer.onClientDisconnected(c.now, r.info.id());
@@ -180,33 +180,33 @@
       }
     }
     c.now += 10_000;
-    due(c, balancer);
+    runDueEvents(c, balancer);
     assertThat(c.requests.values()).allMatch(r -> r.answered);
-    return c.script;
+    return c.actions;
   }
 
   /** Runs due timers, and times out attempts in flight at the deadline of their request. */
-  private static void due(Checker c, LcStarBalancer balancer) {
+  private static void runDueEvents(Checker c, LcStarBalancer balancer) {
     double until = c.now;
     for (; ; ) {
       double next = until;
       double[] timer = null;
-      Owed late = null;
+      TrackedRequest expired = null;
       for (double[] t : c.timers) {
         if (t[0] < next) {
           next = t[0];
           timer = t;
         }
       }
-      for (Owed r : c.open) {
-        boolean out = r.tries.stream().anyMatch(t -> t.result == null);
-        if (out && r.info.deadline() < next) {
+      for (TrackedRequest r : c.openRequests) {
+        boolean inFlight = r.attempts.stream().anyMatch(t -> t.result == null);
+        if (inFlight && r.info.deadline() < next) {
           next = r.info.deadline();
           timer = null;
-          late = r;
+          expired = r;
         }
       }
-      if (timer == null && late == null) {
+      if (timer == null && expired == null) {
         break;
       }
       c.now = next;
@@ -214,27 +214,27 @@
         c.timers.remove(timer);
         balancer.onTimer(c.now, (long) timer[1]);
       } else {
-        for (int i = 0; i < late.tries.size(); i++) {
-          if (late.tries.get(i).result == null) {
-            end(c, balancer, late, i, Result.TIMEOUT);
+        for (int i = 0; i < expired.attempts.size(); i++) {
+          if (expired.attempts.get(i).result == null) {
+            endAttempt(c, balancer, expired, i, Result.TIMEOUT);
           }
         }
       }
     }
     c.now = until;
-    for (Owed r : c.open) {
+    for (TrackedRequest r : c.openRequests) {
       assertThat(r.answered || r.info.deadline() + 20 >= c.now).as("response in time").isTrue();
     }
-    c.open.removeIf(r -> r.answered && r.tries.stream().allMatch(t -> t.result != null));
+    c.openRequests.removeIf(r -> r.answered && r.attempts.stream().allMatch(t -> t.result != null));
   }
 
-  private static void outcome(Checker c, LcStarBalancer balancer, Random random) {
-    if (c.open.isEmpty()) {
+  private static void endRandomAttempt(Checker c, LcStarBalancer balancer, Random random) {
+    if (c.openRequests.isEmpty()) {
       return;
     }
-    Owed r = c.open.get(random.nextInt(c.open.size()));
-    for (int i = 0; i < r.tries.size(); i++) {
-      if (r.tries.get(i).result == null) {
+    TrackedRequest r = c.openRequests.get(random.nextInt(c.openRequests.size()));
+    for (int i = 0; i < r.attempts.size(); i++) {
+      if (r.attempts.get(i).result == null) {
         Result[] all = {
           Result.OK,
           Result.OK,
@@ -246,14 +246,14 @@
           Result.CONNECT_FAILED,
           Result.TIMEOUT
         };
-        end(c, balancer, r, i, all[random.nextInt(all.length)]);
+        endAttempt(c, balancer, r, i, all[random.nextInt(all.length)]);
         return;
       }
     }
   }
 
-  private static void end(Checker c, LcStarBalancer balancer, Owed r, int i, Result result) {
-    Try t = r.tries.get(i);
+  private static void endAttempt(Checker c, LcStarBalancer balancer, TrackedRequest r, int i, Result result) {
+    Attempt t = r.attempts.get(i);
     t.result = result;
     boolean ended = r.answered || result == Result.OK;
     r.answered = ended;
@@ -262,18 +262,18 @@
         new Outcome(r.info.id(), t.host.host(), i, result, c.now - t.sentAt, ended, List.of()));
   }
 
-  private static void list(Checker c, LcStarBalancer balancer, Random random, int i) {
+  private static void updateHost(Checker c, LcStarBalancer balancer, Random random, int i) {
     Availability a = Availability.values()[Math.max(0, random.nextInt(6) - 3)];
-    HostEntry e = Gateway.host("h" + i, i % 2, a, random.nextInt(3) == 0 ? c.now - 500 : 0);
-    c.listed.put(e.host(), e);
+    HostEntry e = FakeGateway.host("h" + i, i % 2, a, random.nextInt(3) == 0 ? c.now - 500 : 0);
+    c.listedHosts.put(e.host(), e);
     balancer.onMembers(c.now, new MembersUpdate(MembersUpdate.Kind.DELTA, 1, List.of(e)));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void theRulesHoldAndTheSameEventsGiveTheSameActions(long seed) {
-    List<String> script = play(seed);
-    assertThat(script).hasSizeGreaterThan(2_000);
-    assertThat(play(seed)).isEqualTo(script);
+  void keepsRulesAndIsDeterministic(long seed) {
+    List<String> actions = simulate(seed);
+    assertThat(actions).hasSizeGreaterThan(2_000);
+    assertThat(simulate(seed)).isEqualTo(actions);
   }
 }
--- a/src/test/java/ternscale/policy/ChoicesTest.java
+++ b/src/test/java/ternscale/policy/SelectionDigestTest.java
@@ -29,18 +29,18 @@
  * some streams and warm in others, as every host is scanned while any is cold. The digests are
  * those of a selector that scanned all hosts for each request (commit 5422377).
  */
-class ChoicesTest {
+class SelectionDigestTest {
   private static final int STEPS = 8_000;
   private static final RequestClass[] CLASSES = {
-    Gateway.type(Effect.BY_KEY, DedupScope.ZONE),
-    Gateway.type(Effect.ONCE, DedupScope.ALL),
-    Gateway.type(Effect.REPEATABLE, DedupScope.ALL)
+    FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ZONE),
+    FakeGateway.requestClass(Effect.ONCE, DedupScope.ALL),
+    FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL)
   };
 
   private enum Site {
-    PLAIN(Gateway.settings(Discovery.PUSHED, false, true, CLASSES)),
-    KEYS(Gateway.settings(Discovery.PUSHED, true, CLASSES)),
-    CROSSING(Gateway.crossing(0.1, CLASSES));
+    PLAIN(FakeGateway.settings(Discovery.PUSHED, false, true, CLASSES)),
+    KEYS(FakeGateway.settings(Discovery.PUSHED, true, CLASSES)),
+    CROSSING(FakeGateway.withCrossZoneCost(0.1, CLASSES));
 
     private final Settings settings;
 
@@ -66,9 +66,9 @@
     "CROSSING, 150, 45, false, 68dd53ffbb94a153",
     "CROSSING, 1000, 46, false, f351bcf53862f9be"
   })
-  void theyAreThoseOfTheScan(Site site, int hosts, long seed, boolean cold, String digest)
+  void choicesMatchThoseOfFullScan(Site site, int hosts, long seed, boolean cold, String digest)
       throws Exception {
-    Stream stream = new Stream(site.settings, hosts, seed, cold);
+    EventStream stream = new EventStream(site.settings, hosts, seed, cold);
     for (int i = 0; i < STEPS; i++) {
       stream.step();
     }
@@ -83,55 +83,55 @@
   }
 
   /** Random events at one gateway, generated from a seed. */
-  private static final class Stream {
-    private final Gateway gateway;
+  private static final class EventStream {
+    private final FakeGateway gateway;
     private final Random random;
     private final List<HostEntry> hosts = new ArrayList<>();
-    private final Set<String> hung = new HashSet<>();
-    private final List<Gateway.Sent> out = new ArrayList<>();
+    private final Set<String> hungHosts = new HashSet<>();
+    private final List<FakeGateway.Sent> attemptsInFlight = new ArrayList<>();
     private final List<Double> sentAt = new ArrayList<>();
-    private final Set<String> ended = new HashSet<>();
+    private final Set<String> endedRequests = new HashSet<>();
     private final boolean cold;
-    private final int inFlight;
-    private int read;
-    private int seen;
+    private final int maxInFlight;
+    private int readLines;
+    private int seenSends;
     private int requests;
-    private boolean timer;
+    private boolean isTimerSet;
 
-    Stream(Settings settings, int n, long seed, boolean cold) {
+    EventStream(Settings settings, int n, long seed, boolean cold) {
       this.cold = cold;
-      gateway = new Gateway(settings, seed);
+      gateway = new FakeGateway(settings, seed);
       random = new Random(seed);
-      inFlight = 8 + n / 10;
+      maxInFlight = 8 + n / 10;
       for (int i = 0; i < n; i++) {
         hosts.add(new HostEntry("h" + i, 1 + i % 3, i % 3, i % 2, 0, Availability.UP, 0));
       }
-      gateway.members(Kind.FULL, hosts.toArray(HostEntry[]::new));
+      gateway.updateMembers(Kind.FULL, hosts.toArray(HostEntry[]::new));
     }
 
     void step() {
       gateway.now += -Math.log(1 - random.nextDouble());
-      double what = random.nextDouble();
-      if (what < 0.005) {
-        change();
-      } else if (what < 0.01) {
+      double choice = random.nextDouble();
+      if (choice < 0.005) {
+        changeHost();
+      } else if (choice < 0.01) {
         String host = hosts.get(random.nextInt(hosts.size())).host();
-        if (!hung.remove(host) && hung.size() < hosts.size() / 4) {
-          hung.add(host);
+        if (!hungHosts.remove(host) && hungHosts.size() < hosts.size() / 4) {
+          hungHosts.add(host);
         }
-      } else if (what < 0.015 && requests > 0) {
+      } else if (choice < 0.015 && requests > 0) {
         String id = "r" + (requests - 1 - random.nextInt(Math.min(requests, 20)));
-        ended.add(id);
+        endedRequests.add(id);
         gateway.balancer.onClientDisconnected(gateway.now, id);
-      } else if (timer) {
-        timer = false;
+      } else if (isTimerSet) {
+        isTimerSet = false;
         gateway.balancer.onTimer(gateway.now, 2);
-      } else if (out.size() < inFlight && what < 0.5) {
+      } else if (attemptsInFlight.size() < maxInFlight && choice < 0.5) {
         request();
       } else {
         outcome();
       }
-      follow();
+      processActions();
     }
 
     private void request() {
@@ -140,44 +140,44 @@
       String id = "r" + requests++;
       int type = random.nextInt(CLASSES.length);
       double deadline = gateway.now + 2_000;
-      boolean again = random.nextInt(8) == 0;
+      boolean isClientRetry = random.nextInt(8) == 0;
       gateway.balancer.onRequest(
-          gateway.now, new RequestInfo(id, type, 0, deadline, hint, key, type < 2, again));
+          gateway.now, new RequestInfo(id, type, 0, deadline, hint, key, type < 2, isClientRetry));
     }
 
     /** Ends a random attempt; attempts at a hung host end only by a timeout. */
     private void outcome() {
-      if (out.isEmpty()) {
+      if (attemptsInFlight.isEmpty()) {
         return;
       }
-      int i = random.nextInt(out.size());
-      Gateway.Sent sent = out.get(i);
+      int i = random.nextInt(attemptsInFlight.size());
+      FakeGateway.Sent sent = attemptsInFlight.get(i);
       double elapsed = gateway.now - sentAt.get(i);
-      double how = random.nextDouble();
+      double choice = random.nextDouble();
       Result result =
-          how < 0.90
+          choice < 0.90
               ? Result.OK
-              : how < 0.93
+              : choice < 0.93
                   ? Result.ERROR
-                  : how < 0.96
+                  : choice < 0.96
                       ? Result.REJECTED
-                      : how < 0.98 ? Result.RESET : Result.CONNECT_FAILED;
-      if (hung.contains(sent.host())) {
+                      : choice < 0.98 ? Result.RESET : Result.CONNECT_FAILED;
+      if (hungHosts.contains(sent.host())) {
         if (elapsed < 550) {
           return;
         }
         result = Result.TIMEOUT;
       }
-      out.remove(i);
+      attemptsInFlight.remove(i);
       sentAt.remove(i);
-      boolean over = !ended.add(sent.request()) || result == Result.OK;
-      if (!over) {
-        ended.remove(sent.request());
+      boolean requestEnded = !endedRequests.add(sent.request()) || result == Result.OK;
+      if (!requestEnded) {
+        endedRequests.remove(sent.request());
       }
-      gateway.outcome(sent, result, elapsed, over);
+      gateway.outcome(sent, result, elapsed, requestEnded);
     }
 
-    private void change() {
+    private void changeHost() {
       int i = random.nextInt(hosts.size());
       HostEntry h = hosts.get(i);
       Availability next =
@@ -190,25 +190,25 @@
           new HostEntry(
               h.host(), h.weight(), h.hardwareType(), h.zone(), h.cell(), next, startedAt));
       if (random.nextInt(4) == 0) {
-        gateway.members(Kind.FULL, hosts.toArray(HostEntry[]::new));
+        gateway.updateMembers(Kind.FULL, hosts.toArray(HostEntry[]::new));
       } else {
-        gateway.members(Kind.DELTA, hosts.get(i));
+        gateway.updateMembers(Kind.DELTA, hosts.get(i));
       }
     }
 
-    private void follow() {
-      for (; read < gateway.log.size(); read++) {
-        String[] words = gateway.log.get(read).split(" ");
+    private void processActions() {
+      for (; readLines < gateway.log.size(); readLines++) {
+        String[] words = gateway.log.get(readLines).split(" ");
         switch (words[0]) {
-          case "refuse", "fail" -> ended.add(words[1]);
-          case "timer" -> timer = true;
+          case "refuse", "fail" -> endedRequests.add(words[1]);
+          case "timer" -> isTimerSet = true;
           default -> {
             // Sends are processed by the next loop; a cancelled attempt ends like any other.
           }
         }
       }
-      for (; seen < gateway.sent.size(); seen++) {
-        out.add(gateway.sent.get(seen));
+      for (; seenSends < gateway.sent.size(); seenSends++) {
+        attemptsInFlight.add(gateway.sent.get(seenSends));
         sentAt.add(gateway.now);
       }
     }
--- a/src/test/java/ternscale/policy/SlowStartFleetTest.java
+++ b/src/test/java/ternscale/policy/SlowStartFleetTest.java
@@ -26,10 +26,10 @@
  */
 class SlowStartFleetTest {
   private static final Settings SETTINGS =
-      Gateway.settings(Settings.Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
+      FakeGateway.settings(Settings.Discovery.PUSHED, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
 
   /** The number of hosts is this or the number of gateways, whichever is larger. */
-  private static final int LEAST_HOSTS = 20;
+  private static final int MIN_HOSTS = 20;
 
   private static final double WORK_MS = 50;
   private static final double LATENCY_MS = 60;
@@ -38,7 +38,7 @@
   private static final double CAPACITY = 1 / WORK_MS;
 
   private static final double LOAD = 0.7;
-  private static final double WARM_UP_MS = 20_000;
+  private static final double COLD_START_AFTER_MS = 20_000;
   private static final int SEEDS = 10;
 
   /** Why the host is cold. */
@@ -55,11 +55,11 @@
     "RESTART, 1", "RESTART, 5", "RESTART, 30", "RESTART, 120",
     "GATEWAYS_RESTART_TOO, 5", "GATEWAYS_RESTART_TOO, 30", "GATEWAYS_RESTART_TOO, 120"
   })
-  void allGatewaysTogetherKeepWithinTheBudgetOfAColdHost(Start start, int gateways) {
+  void gatewaysTogetherStayWithinBudgetOfColdHost(Start start, int gateways) {
     for (int seed = 0; seed < SEEDS; seed++) {
       Fleet fleet = new Fleet(start, gateways, seed);
-      fleet.play();
-      assertThat(fleet.worstExcess())
+      fleet.simulate();
+      assertThat(fleet.maxExcess())
           .as("calls over the budget, seed %d", seed)
           .isLessThanOrEqualTo(0);
       if (start != Start.GATEWAYS_RESTART_TOO) {
@@ -69,16 +69,16 @@
   }
 
   /** A response that is on its way to a gateway. */
-  private record Answer(double at, int gateway, Gateway.Sent sent) {}
+  private record Response(double at, int gateway, FakeGateway.Sent sent) {}
 
   private static final class Fleet {
     private final Start start;
     private final Random random;
     private final int hosts;
-    private final List<Gateway> gateways = new ArrayList<>();
+    private final List<FakeGateway> gateways = new ArrayList<>();
     private final double[] cumulativeShare;
-    private final PriorityQueue<Answer> answers =
-        new PriorityQueue<>(Comparator.comparingDouble(Answer::at));
+    private final PriorityQueue<Response> responses =
+        new PriorityQueue<>(Comparator.comparingDouble(Response::at));
     private final Deque<Double> coldCalls = new ArrayDeque<>();
     private final double coldAt;
     private double now;
@@ -87,7 +87,7 @@
     Fleet(Start start, int count, long seed) {
       this.start = start;
       random = new Random(seed);
-      hosts = Math.max(LEAST_HOSTS, count);
+      hosts = Math.max(MIN_HOSTS, count);
       cumulativeShare = new double[count];
       double sum = 0;
       for (int i = 0; i < count; i++) {
@@ -97,104 +97,104 @@
         cumulativeShare[i] = sum;
       }
       now = gateways.get(0).now;
-      coldAt = now + WARM_UP_MS;
+      coldAt = now + COLD_START_AFTER_MS;
     }
 
-    private Gateway gateway(int me, int count, long seed) {
-      Gateway gateway = new Gateway(Gateway.oneOf(SETTINGS, me, count), seed);
-      gateway.hosts(hosts);
+    private FakeGateway gateway(int index, int count, long seed) {
+      FakeGateway gateway = new FakeGateway(FakeGateway.withInstance(SETTINGS, index, count), seed);
+      gateway.addHosts(hosts);
       return gateway;
     }
 
     private HostEntry coldHost() {
       String name = start == Start.NEW_HOST ? "new" : "h0";
-      return Gateway.host(name, 0, Availability.UP, coldAt);
+      return FakeGateway.host(name, 0, Availability.UP, coldAt);
     }
 
-    void play() {
+    void simulate() {
       double rate = LOAD * CAPACITY * hosts;
       double end = coldAt + SETTINGS.rules().slowStartMs();
-      boolean told = false;
+      boolean announced = false;
       while (now < end) {
         now -= Math.log(1 - random.nextDouble()) / rate;
-        deliverAnswers();
-        if (!told && now >= coldAt) {
-          told = true;
-          for (Gateway gateway : gateways) {
-            tellOfColdHost(gateway);
+        deliverResponses();
+        if (!announced && now >= coldAt) {
+          announced = true;
+          for (FakeGateway gateway : gateways) {
+            announceColdHost(gateway);
           }
         }
-        restartGatewaysInMidRamp();
-        ask(pick());
+        restartGatewaysDuringSlowStart();
+        sendRequest(pickGateway());
       }
     }
 
-    private void tellOfColdHost(Gateway gateway) {
+    private void announceColdHost(FakeGateway gateway) {
       gateway.now = now;
-      gateway.members(MembersUpdate.Kind.DELTA, coldHost());
+      gateway.updateMembers(MembersUpdate.Kind.DELTA, coldHost());
     }
 
-    private void restartGatewaysInMidRamp() {
-      double middle = coldAt + SETTINGS.rules().slowStartMs() / 4;
-      if (start != Start.GATEWAYS_RESTART_TOO || restarted || now < middle) {
+    private void restartGatewaysDuringSlowStart() {
+      double restartAt = coldAt + SETTINGS.rules().slowStartMs() / 4;
+      if (start != Start.GATEWAYS_RESTART_TOO || restarted || now < restartAt) {
         return;
       }
       restarted = true;
       for (int i = 0; i < gateways.size(); i += 2) {
         int index = i;
-        answers.removeIf(answer -> answer.gateway() == index);
-        Gateway anew = gateway(i, gateways.size(), random.nextLong());
-        tellOfColdHost(anew);
-        gateways.set(i, anew);
+        responses.removeIf(answer -> answer.gateway() == index);
+        FakeGateway restartedGateway = gateway(i, gateways.size(), random.nextLong());
+        announceColdHost(restartedGateway);
+        gateways.set(i, restartedGateway);
       }
     }
 
-    private int pick() {
-      double at = random.nextDouble() * cumulativeShare[cumulativeShare.length - 1];
+    private int pickGateway() {
+      double position = random.nextDouble() * cumulativeShare[cumulativeShare.length - 1];
       int i = 0;
-      while (cumulativeShare[i] < at) {
+      while (cumulativeShare[i] < position) {
         i++;
       }
       return i;
     }
 
-    private void ask(int index) {
-      Gateway gateway = gateways.get(index);
+    private void sendRequest(int index) {
+      FakeGateway gateway = gateways.get(index);
       gateway.now = now;
       int before = gateway.sent.size();
       gateway.request(0, WORK_MS);
-      for (Gateway.Sent sent : gateway.sent.subList(before, gateway.sent.size())) {
-        answers.add(new Answer(now + LATENCY_MS, index, sent));
+      for (FakeGateway.Sent sent : gateway.sent.subList(before, gateway.sent.size())) {
+        responses.add(new Response(now + LATENCY_MS, index, sent));
         if (sent.host().equals(coldHost().host()) && now >= coldAt) {
           coldCalls.add(now);
         }
       }
     }
 
-    private void deliverAnswers() {
-      while (!answers.isEmpty() && answers.peek().at() <= now) {
-        Answer answer = answers.poll();
-        Gateway gateway = gateways.get(answer.gateway());
-        gateway.now = answer.at();
-        gateway.outcome(answer.sent(), Result.OK, LATENCY_MS, true);
+    private void deliverResponses() {
+      while (!responses.isEmpty() && responses.peek().at() <= now) {
+        Response response = responses.poll();
+        FakeGateway gateway = gateways.get(response.gateway());
+        gateway.now = response.at();
+        gateway.outcome(response.sent(), Result.OK, LATENCY_MS, true);
       }
     }
 
     /** The maximum excess of calls over the allowed number, over windows that start at a call. */
-    double worstExcess() {
+    double maxExcess() {
       Settings.Rules rules = SETTINGS.rules();
-      double worst = Double.NEGATIVE_INFINITY;
+      double maxExcess = Double.NEGATIVE_INFINITY;
       for (double from : coldCalls) {
-        double warmth =
+        double capacityShare =
             rules.initialCapacityShare()
                 + (1 - rules.initialCapacityShare()) * (from - coldAt) / rules.slowStartMs();
-        double allowed = rules.overloadMultiple() * warmth * CAPACITY * rules.overloadMs();
+        double allowed = rules.overloadMultiple() * capacityShare * CAPACITY * rules.overloadMs();
         double slack = allowed < 30 ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
         long calls =
             coldCalls.stream().filter(at -> at >= from && at < from + rules.overloadMs()).count();
-        worst = Math.max(worst, calls - allowed - slack);
+        maxExcess = Math.max(maxExcess, calls - allowed - slack);
       }
-      return worst;
+      return maxExcess;
     }
   }
 }
