--- a/src/main/java/ternscale/adapter/SettingsReader.java
+++ b/src/main/java/ternscale/adapter/SettingsReader.java
@@ -27,8 +27,8 @@
         s.get("clients").get("marks_retry").flag(false),
         limits(s.get("limits")),
         rules(s.get("rules")),
-        prices(s.get("prices")),
-        goal(s.get("result_mix")),
+        costs(s.get("prices")),
+        objective(s.get("result_mix")),
         reportMode(report.get("how")),
         reportFields(report.get("columns")),
         weightMeaning(s.get("weight_kind")));
@@ -45,7 +45,7 @@
               g.get("worth").number(1),
               g.get("late_worth").number(0),
               effect(g.get("effect")),
-              group(g.get("group")),
+              dedupScope(g.get("group")),
               g.get("window").number(0),
               g.get("stream").flag(false)));
     }
@@ -53,22 +53,22 @@
   }
 
   private static Settings.Effect effect(JsonTree t) {
-    String word = t.text("once");
-    return switch (word) {
+    String value = t.text("once");
+    return switch (value) {
       case "repeatable" -> Settings.Effect.REPEATABLE;
       case "by_key" -> Settings.Effect.BY_KEY;
       case "once" -> Settings.Effect.ONCE;
-      default -> throw t.error("has the unknown value " + word);
+      default -> throw t.error("has the unknown value " + value);
     };
   }
 
-  private static Settings.DedupScope group(JsonTree t) {
-    String word = t.text("all");
-    return switch (word) {
+  private static Settings.DedupScope dedupScope(JsonTree t) {
+    String value = t.text("all");
+    return switch (value) {
       case "all" -> Settings.DedupScope.ALL;
       case "zone" -> Settings.DedupScope.ZONE;
       case "cell" -> Settings.DedupScope.CELL;
-      default -> throw t.error("has the unknown value " + word);
+      default -> throw t.error("has the unknown value " + value);
     };
   }
 
@@ -105,7 +105,7 @@
         r.get("must_ask_in").number(0));
   }
 
-  private static Settings.Costs prices(JsonTree p) {
+  private static Settings.Costs costs(JsonTree p) {
     return new Settings.Costs(
         p.get("cross_zone").number(0),
         p.get("probe").number(0),
@@ -114,7 +114,7 @@
         p.get("handshake").number(0));
   }
 
-  private static Settings.Objective goal(JsonTree g) {
+  private static Settings.Objective objective(JsonTree g) {
     return new Settings.Objective(
         g.get("whole").number(1),
         g.get("worst_window").number(0),
@@ -123,12 +123,12 @@
   }
 
   private static Settings.ReportMode reportMode(JsonTree how) {
-    String word = how.text("silent");
-    return switch (word) {
+    String value = how.text("silent");
+    return switch (value) {
       case "piggyback" -> Settings.ReportMode.WITH_ANSWERS;
       case "pull" -> Settings.ReportMode.WITH_PROBES;
       case "silent" -> Settings.ReportMode.NONE;
-      default -> throw how.error("has the unknown value " + word);
+      default -> throw how.error("has the unknown value " + value);
     };
   }
 
@@ -150,13 +150,13 @@
   }
 
   private static Settings.WeightMeaning weightMeaning(JsonTree t) {
-    String word = t.text("silent");
-    return switch (word) {
+    String value = t.text("silent");
+    return switch (value) {
       case "nominal" -> Settings.WeightMeaning.NOMINAL;
       case "rough" -> Settings.WeightMeaning.ROUGH;
       case "live" -> Settings.WeightMeaning.LIVE;
       case "silent" -> Settings.WeightMeaning.NONE;
-      default -> throw t.error("has the unknown value " + word);
+      default -> throw t.error("has the unknown value " + value);
     };
   }
 }
--- a/src/main/java/ternscale/adapter/WireReader.java
+++ b/src/main/java/ternscale/adapter/WireReader.java
@@ -285,12 +285,12 @@
     return (int) value;
   }
 
-  private Availability availability(String word) {
-    return switch (word) {
+  private Availability availability(String value) {
+    return switch (value) {
       case "on" -> Availability.UP;
       case "fading" -> Availability.DRAINING;
       case "off" -> Availability.GONE;
-      default -> throw error("field availability of an entry has the unknown value " + word);
+      default -> throw error("field availability of an entry has the unknown value " + value);
     };
   }
 
--- a/src/main/java/ternscale/api/Settings.java
+++ b/src/main/java/ternscale/api/Settings.java
@@ -181,8 +181,8 @@
     Objects.requireNonNull(discovery, "discovery");
     Objects.requireNonNull(limits, "limits");
     Objects.requireNonNull(rules, "rules");
-    Objects.requireNonNull(costs, "prices");
-    Objects.requireNonNull(objective, "goal");
+    Objects.requireNonNull(costs, "costs");
+    Objects.requireNonNull(objective, "objective");
     Objects.requireNonNull(reportMode, "reportMode");
     Objects.requireNonNull(weightMeaning, "weightMeaning");
   }
--- a/src/main/java/ternscale/policy/Admission.java
+++ b/src/main/java/ternscale/policy/Admission.java
@@ -94,7 +94,7 @@
   /** Decayed offered work by class, over quota or not, and too expensive for its target or not. */
   private double[] offeredWork = new double[0];
 
-  private int[] bucketsByDensity;
+  private int[] bucketsByValuePerWork;
 
   /** Value offered and value served in time, by class; the objective may weight the worst class. */
   private double[] offeredValue;
@@ -136,16 +136,21 @@
     sortedAt = now;
     int worstClass =
         IntStream.range(0, offeredValue.length)
-            .reduce(0, (w, c) -> servedValue[c] * offeredValue[w] < servedValue[w] * offeredValue[c] ? c : w);
-    double worstShare = offeredValue[worstClass] / Math.max(1e-9, Arrays.stream(offeredValue).sum());
-    Settings.Objective goal = settings.objective();
-    double overallWeight = Math.max(1e-9, goal.overall() + goal.worstWindow());
-    double factor = worstShare > 0 ? 1 + goal.worstClass() / overallWeight / worstShare : 1;
-    bucketsByDensity =
+            .reduce(
+                0,
+                (w, c) ->
+                    servedValue[c] * offeredValue[w] < servedValue[w] * offeredValue[c] ? c : w);
+    double worstShare =
+        offeredValue[worstClass] / Math.max(1e-9, Arrays.stream(offeredValue).sum());
+    Settings.Objective objective = settings.objective();
+    double overallWeight = Math.max(1e-9, objective.overall() + objective.worstWindow());
+    double factor = worstShare > 0 ? 1 + objective.worstClass() / overallWeight / worstShare : 1;
+    bucketsByValuePerWork =
         IntStream.range(0, offeredWork.length)
             .boxed()
             .sorted(
-                Comparator.comparingDouble(b -> valuePerWork(b) * (b / BUCKETS_PER_CLASS == worstClass ? factor : 1)))
+                Comparator.comparingDouble(
+                    b -> valuePerWork(b) * (b / BUCKETS_PER_CLASS == worstClass ? factor : 1)))
             .mapToInt(Integer::intValue)
             .toArray();
   }
@@ -161,11 +166,13 @@
   boolean admits(Pending p, double now) {
     decay(now);
     RequestInfo r = p.info;
-    int bucket = BUCKETS_PER_CLASS * r.requestClass() + (isOverQuota(r.tenant(), now) ? OVER_QUOTA : 0);
+    int bucket =
+        BUCKETS_PER_CLASS * r.requestClass() + (isOverQuota(r.tenant(), now) ? OVER_QUOTA : 0);
     if (r.costHint() > TOO_EXPENSIVE_FACTOR * p.targetLatencyMs()) {
       bucket |= TOO_EXPENSIVE;
     }
-    if (valuePerWork(bucket) <= 0 && r.costHint() > INFEASIBLE_FACTOR * p.requestClass.targetLatencyMs()) {
+    if (valuePerWork(bucket) <= 0
+        && r.costHint() > INFEASIBLE_FACTOR * p.requestClass.targetLatencyMs()) {
       return false;
     }
     clientRetryShare += ((r.isClientRetry() ? 1 : 0) - clientRetryShare) * 0.02;
@@ -178,7 +185,7 @@
       return true;
     }
     double workToShed = (shedLevel - DEAD_BAND) * Arrays.stream(offeredWork).sum();
-    for (int b : bucketsByDensity) {
+    for (int b : bucketsByValuePerWork) {
       if (b == bucket) {
         return random.nextDouble() * offeredWork[b] >= workToShed;
       }
@@ -201,7 +208,8 @@
     tenantRequests[tenant]++;
     double quota = settings.tenants().get(tenant).quotaRps();
     double observedMs = MIX_MEMORY_MS * (1 - Math.exp((startedAt - now - 1) / MIX_MEMORY_MS));
-    double rate = 1000 * tenantRequests[tenant] / Math.max(observedMs, 1000) * settings.instanceCount();
+    double rate =
+        1000 * tenantRequests[tenant] / Math.max(observedMs, 1000) * settings.instanceCount();
     return quota > 0 && rate > quota && random.nextDouble() > quota / rate;
   }
 
@@ -218,10 +226,15 @@
     double lateThresholdMs = LATE_FRACTION * c.targetLatencyMs();
     if (result == Result.OK) {
       servedValue[p.info.requestClass()] += now <= p.targetAt() ? p.value() : 0;
-      double typicalThresholdMs = TYPICAL_LATENCY_FACTOR * updateTypicalLatencyMs(p.info.requestClass(), elapsedMs, now);
-      lateThresholdMs = Math.min(lateThresholdMs, Math.max(MIN_LATE_FRACTION * c.targetLatencyMs(), typicalThresholdMs));
+      double typicalThresholdMs =
+          TYPICAL_LATENCY_FACTOR * updateTypicalLatencyMs(p.info.requestClass(), elapsedMs, now);
+      lateThresholdMs =
+          Math.min(
+              lateThresholdMs,
+              Math.max(MIN_LATE_FRACTION * c.targetLatencyMs(), typicalThresholdMs));
       // An expensive request takes long on an idle host too; only the excess indicates queueing.
-      lateThresholdMs += Math.max(0, p.info.costHint() - typicalThresholdMs / TYPICAL_LATENCY_FACTOR);
+      lateThresholdMs +=
+          Math.max(0, p.info.costHint() - typicalThresholdMs / TYPICAL_LATENCY_FACTOR);
     }
     double spanMs = Math.min(MAX_OUTCOME_SPAN_MS, now - levelUpdatedAt);
     if (result == Result.OK && elapsedMs <= lateThresholdMs) {
@@ -241,8 +254,11 @@
   }
 
   private double risePerMs(Result result) {
-    boolean fewClientRetries = settings.clientsMarkRetries() && clientRetryShare < LOW_CLIENT_RETRY_SHARE;
-    return fewClientRetries && result == Result.OK ? LEVEL_RISE_WITHOUT_RETRIES_PER_MS : LEVEL_RISE_PER_MS;
+    boolean fewClientRetries =
+        settings.clientsMarkRetries() && clientRetryShare < LOW_CLIENT_RETRY_SHARE;
+    return fewClientRetries && result == Result.OK
+        ? LEVEL_RISE_WITHOUT_RETRIES_PER_MS
+        : LEVEL_RISE_PER_MS;
   }
 
   void onFirstSend() {
--- a/src/main/java/ternscale/policy/ColdStart.java
+++ b/src/main/java/ternscale/policy/ColdStart.java
@@ -69,7 +69,8 @@
   /** The share of its capacity that the host certainly has: grows linearly from its start. */
   private double capacityShare(Host h, double now) {
     double elapsedShare = Math.max(0, now - h.startedAt) / rules.slowStartMs();
-    return Math.min(1, rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * elapsedShare);
+    return Math.min(
+        1, rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * elapsedShare);
   }
 
   /** Starts at a random debt: full credit at all gateways at once would overload the host. */
@@ -83,8 +84,10 @@
     if (!isCold(h, now)) {
       return true;
     }
-    double rate = MULTIPLE_FRACTION * rules.overloadMultiple() * capacityShare(h, now) * peakRatePerHost(now);
-    h.coldCredit = Math.min(MAX_CREDIT_REQUESTS * meanWork(), h.coldCredit + rate * (now - h.coldCreditAt));
+    double rate =
+        MULTIPLE_FRACTION * rules.overloadMultiple() * capacityShare(h, now) * peakRatePerHost(now);
+    h.coldCredit =
+        Math.min(MAX_CREDIT_REQUESTS * meanWork(), h.coldCredit + rate * (now - h.coldCreditAt));
     h.coldCreditAt = now;
     return h.coldCredit >= 0;
   }
--- a/src/main/java/ternscale/policy/Host.java
+++ b/src/main/java/ternscale/policy/Host.java
@@ -57,7 +57,7 @@
   double decayedAt;
 
   /** When a request was last sent or finished, while connections may be open; 0 otherwise. */
-  double connectionUsedAt;
+  double lastUsedAt;
 
   /** Slow start: work that this gateway may still send to the cold host; {@link ColdStart}. */
   double coldCredit;
@@ -81,7 +81,8 @@
    * @return whether the host has restarted
    */
   boolean apply(HostEntry entry) {
-    boolean restarted = entry.startedAt() != listedStartedAt && entry.availability() != Availability.GONE;
+    boolean restarted =
+        entry.startedAt() != listedStartedAt && entry.availability() != Availability.GONE;
     zone = entry.zone();
     cell = entry.cell();
     hardwareType = entry.hardwareType();
--- a/src/main/java/ternscale/policy/HostTable.java
+++ b/src/main/java/ternscale/policy/HostTable.java
@@ -96,7 +96,8 @@
     meanLatencyMs = Arrays.copyOf(meanLatencyMs, next.classes().size());
     meanWork = Arrays.copyOf(meanWork, next.classes().size());
     double idleFraction = next.costs().handshake() > 0 ? IDLE_CONNECTION_FRACTION : 0;
-    idleConnectionMs = Math.max(IDLE_CONNECTION_MS, idleFraction * next.limits().idleConnectionMs());
+    idleConnectionMs =
+        Math.max(IDLE_CONNECTION_MS, idleFraction * next.limits().idleConnectionMs());
   }
 
   void apply(MembersUpdate update, double now) {
@@ -111,7 +112,8 @@
         h.startedAt = coldStart.effectiveStart(e.startedAt(), listReceived, now);
         coldStart.startBudget(h, now);
       }
-      hardwareSlowness = Arrays.copyOf(hardwareSlowness, Math.max(hardwareSlowness.length, e.hardwareType() + 1));
+      hardwareSlowness =
+          Arrays.copyOf(hardwareSlowness, Math.max(hardwareSlowness.length, e.hardwareType() + 1));
       hardwareOutcomes = Arrays.copyOf(hardwareOutcomes, hardwareSlowness.length);
     }
     listReceived |= update.kind() != MembersUpdate.Kind.CACHED;
@@ -133,11 +135,13 @@
   /** Whether a host seems to hang: shows before its first timeout and ends with any response. */
   boolean isUnresponsive(Host h, Pending p, double now) {
     double since = Math.max(h.lastResponseAt, h.busySince);
-    return h.inFlight > h.longInFlight && now - since > UNRESPONSIVE_FRACTION * p.requestClass.targetLatencyMs();
+    return h.inFlight > h.longInFlight
+        && now - since > UNRESPONSIVE_FRACTION * p.requestClass.targetLatencyMs();
   }
 
   /** Updates the statistics of a host with a finished attempt, and ejects the host if needed. */
-  void recordOutcome(Host h, Pending p, Pending.Attempt a, Result result, double elapsedMs, double now) {
+  void recordOutcome(
+      Host h, Pending p, Pending.Attempt a, Result result, double elapsedMs, double now) {
     h.decay(now, OUTCOME_MEMORY_MS);
     if (result == Result.CANCELLED || result == Result.NOT_SENT) {
       return;
@@ -155,10 +159,13 @@
         eject(h, MAX_EJECTED_SHARE_REJECTING, now);
       }
     } else {
-      double silenceMs = Math.max(elapsedMs, UNRESPONSIVE_FRACTION * p.requestClass.targetLatencyMs());
-      boolean zoneResponds = ring.stream().anyMatch(o -> o.zone == h.zone && now - o.lastResponseAt < silenceMs);
+      double silenceMs =
+          Math.max(elapsedMs, UNRESPONSIVE_FRACTION * p.requestClass.targetLatencyMs());
+      boolean zoneResponds =
+          ring.stream().anyMatch(o -> o.zone == h.zone && now - o.lastResponseAt < silenceMs);
       boolean anyResponds = ring.stream().anyMatch(o -> now - o.lastResponseAt < BASE_EJECTION_MS);
-      double maxShare = anyResponds && !zoneResponds ? MAX_EJECTED_SHARE_UNRESPONSIVE_ZONE : MAX_EJECTED_SHARE;
+      double maxShare =
+          anyResponds && !zoneResponds ? MAX_EJECTED_SHARE_UNRESPONSIVE_ZONE : MAX_EJECTED_SHARE;
       h.failures += result == Result.TIMEOUT ? TIMEOUT_FAILURE_WEIGHT : 1;
       if (result == Result.TIMEOUT
           && h.lastResponseAt <= a.sentAt()
@@ -167,7 +174,8 @@
         // No response to any request in that time: it hangs, and its low count would attract more.
         h.ejections = 0;
         eject(h, maxShare, now);
-      } else if (h.failures >= EJECTION_FAILURES && h.failures > h.attempts * MIN_EJECTION_FAILURE_RATE) {
+      } else if (h.failures >= EJECTION_FAILURES
+          && h.failures > h.attempts * MIN_EJECTION_FAILURE_RATE) {
         if (result == Result.ERROR) {
           h.erringUntil = now + ERRING_MS;
         } else {
@@ -189,10 +197,12 @@
     double relativeWork = meanWork[c] > 0 ? 0.5 + 0.5 * work / meanWork[c] : 1;
     double logSlowness = Math.log(Math.max(0.05, elapsedMs / (meanLatencyMs[c] * relativeWork)));
     hardwareOutcomes[h.hardwareType] = hardwareOutcomes[h.hardwareType] * 0.995 + 1;
-    hardwareSlowness[h.hardwareType] += (logSlowness - hardwareSlowness[h.hardwareType]) / hardwareOutcomes[h.hardwareType];
+    hardwareSlowness[h.hardwareType] +=
+        (logSlowness - hardwareSlowness[h.hardwareType]) / hardwareOutcomes[h.hardwareType];
     h.logSlownessSum += logSlowness - hardwareSlowness[h.hardwareType];
     double step = h.zone == ownZone ? OWN_ZONE_STEP : REMOTE_ZONE_STEP;
-    zoneSlowness[h.zone] += (logSlowness - hardwareSlowness[h.hardwareType] - zoneSlowness[h.zone]) * step;
+    zoneSlowness[h.zone] +=
+        (logSlowness - hardwareSlowness[h.hardwareType] - zoneSlowness[h.zone]) * step;
     h.slownessCount++;
   }
 
@@ -209,7 +219,8 @@
   private void eject(Host h, double maxShare, double now) {
     long ejected = ring.stream().filter(other -> other.ejectedUntil > now).count();
     if (ejected < maxShare * ring.size()) {
-      h.ejectedUntil = now + BASE_EJECTION_MS * (1 << Math.min(h.ejections, MAX_EJECTION_DOUBLINGS));
+      h.ejectedUntil =
+          now + BASE_EJECTION_MS * (1 << Math.min(h.ejections, MAX_EJECTION_DOUBLINGS));
       h.ejections = Math.min(h.ejections + 2, MAX_EJECTION_DOUBLINGS);
       // Half-open: after the ejection one more failure suffices; otherwise the scan would send a
       // burst to it.
--- a/src/main/java/ternscale/policy/LcStarBalancer.java
+++ b/src/main/java/ternscale/policy/LcStarBalancer.java
@@ -30,7 +30,7 @@
   private static final double LONG_SHARE = 0.03;
 
   /** A long request waits this fraction of its target; in the paper it waits indefinitely. */
-  private static final double LONG_WAIT_FRACTION = 0.1;
+  private static final double LONG_WAIT = 0.1;
 
   private Settings settings;
   private final Actions actions;
@@ -43,7 +43,7 @@
   private final List<Pending> held = new ArrayList<>();
   private final double[] costHints = new double[CUTOFF_SAMPLE];
   private int hintCount;
-  private double longCutoff = Double.POSITIVE_INFINITY;
+  private double cutoff = Double.POSITIVE_INFINITY;
   private double idleSweptAt = Double.NEGATIVE_INFINITY;
   private boolean holdTimerSet;
   private boolean closed;
@@ -77,7 +77,7 @@
       throw new IllegalArgumentException("unknown request class: " + c);
     }
     recordCostHint(request.costHint());
-    Pending p = new Pending(request, settings.classes().get(c), now, request.costHint() >= longCutoff);
+    Pending p = new Pending(request, settings.classes().get(c), now, request.costHint() >= cutoff);
     if (requests.putIfAbsent(request.id(), p) != null) {
       throw new IllegalArgumentException("duplicate request id: " + request.id());
     }
@@ -85,8 +85,8 @@
       idleSweptAt = now;
       // Incident i59fa1d: idle connections filled the hosts' tables, until no host was usable.
       for (Host h : hosts.ring) {
-        if (h.connectionUsedAt > 0 && h.inFlight == 0 && now - h.connectionUsedAt > hosts.idleConnectionMs) {
-          h.connectionUsedAt = 0;
+        if (h.lastUsedAt > 0 && h.inFlight == 0 && now - h.lastUsedAt > hosts.idleConnectionMs) {
+          h.lastUsedAt = 0;
           actions.closeIdle(h.id);
         }
       }
@@ -106,7 +106,7 @@
     Pending p = requests.get(requestId);
     if (p != null && !p.ended) {
       markEnded(p);
-      cancelOpenAttempts(p);
+      cancelAttempts(p);
     }
   }
 
@@ -120,7 +120,7 @@
     }
     Host h = a.host();
     h.inFlight--;
-    h.connectionUsedAt = now;
+    h.lastUsedAt = now;
     h.longInFlight -= a.isLong() ? 1 : 0;
     double elapsedMs = outcome.elapsedMs() - outcome.gatewayDelayMs();
     hosts.recordOutcome(h, p, a, outcome.result(), elapsedMs, now);
@@ -139,12 +139,12 @@
     if (p.ended || outcome.requestEnded()) {
       if (!p.ended) {
         markEnded(p);
-        cancelOpenAttempts(p);
+        cancelAttempts(p);
       }
       removeIfDone(p);
     } else {
       p.failedOn.add(h);
-      if (p.openAttempts.isEmpty()) {
+      if (p.inFlight.isEmpty()) {
         if (admission.takeRetry(outcome.result())) {
           place(p, now);
         } else {
@@ -207,7 +207,7 @@
     if (h == null) {
       h = selector.pick(p.info.key(), p.isLong, now, ready);
     }
-    if (h == null && p.isLong && now - p.arrivedAt > LONG_WAIT_FRACTION * p.requestClass.targetLatencyMs()) {
+    if (h == null && p.isLong && now - p.arrivedAt > LONG_WAIT * p.requestClass.targetLatencyMs()) {
       h = selector.pick(p.info.key(), false, now, ready);
     }
     if (h != null) {
@@ -244,13 +244,13 @@
   private void send(Pending p, Host h, double now) {
     if (p.ended
         || p.attemptCount >= settings.limits().maxAttempts()
-        || (!p.openAttempts.isEmpty() && !settings.limits().mayHedge())
+        || (!p.inFlight.isEmpty() && !settings.limits().mayHedge())
         || !maySend(p, h, now)) {
       throw new IllegalStateException("a rule forbids sending " + p.info.id() + " to " + h.id);
     }
-    p.openAttempts.add(new Pending.Attempt(p.attemptCount++, h, now, p.isLong));
+    p.inFlight.add(new Pending.Attempt(p.attemptCount++, h, now, p.isLong));
     h.busySince = h.inFlight++ == 0 ? now : h.busySince;
-    h.connectionUsedAt = now;
+    h.lastUsedAt = now;
     h.longInFlight += p.isLong ? 1 : 0;
     coldStart.onSend(h, p.work(), now);
     if (p.attemptCount == 1) {
@@ -266,7 +266,7 @@
     } else {
       actions.fail(p.info.id());
     }
-    cancelOpenAttempts(p);
+    cancelAttempts(p);
   }
 
   private void markEnded(Pending p) {
@@ -274,23 +274,24 @@
     removeIfDone(p);
   }
 
-  private void cancelOpenAttempts(Pending p) {
+  private void cancelAttempts(Pending p) {
     if (settings.limits().mayCancel()) {
-      for (Pending.Attempt a : p.openAttempts) {
+      for (Pending.Attempt a : p.inFlight) {
         actions.cancel(p.info.id(), a.number());
       }
     }
   }
 
   private void removeIfDone(Pending p) {
-    if (p.ended && p.openAttempts.isEmpty()) {
+    if (p.ended && p.inFlight.isEmpty()) {
       requests.remove(p.info.id());
     }
   }
 
   private static Pending.Attempt removeAttempt(Pending p, int number) {
-    Pending.Attempt a = p.openAttempts.stream().filter(o -> o.number() == number).findFirst().orElse(null);
-    p.openAttempts.remove(a);
+    Pending.Attempt a =
+        p.inFlight.stream().filter(o -> o.number() == number).findFirst().orElse(null);
+    p.inFlight.remove(a);
     return a;
   }
 
@@ -314,7 +315,7 @@
       double[] sorted = Arrays.copyOf(costHints, Math.min(hintCount, CUTOFF_SAMPLE));
       Arrays.sort(sorted);
       double high = sorted[(int) ((1 - LONG_SHARE) * sorted.length)];
-      longCutoff = high > sorted[0] ? high : Double.POSITIVE_INFINITY;
+      cutoff = high > sorted[0] ? high : Double.POSITIVE_INFINITY;
     }
   }
 
--- a/src/main/java/ternscale/policy/Membership.java
+++ b/src/main/java/ternscale/policy/Membership.java
@@ -67,7 +67,8 @@
       failures = isUnresponsive ? failures : Math.min(failures + 1, 4);
       double maxDelayMs =
           INITIAL_BACKOFF * settings.rules().maxPollIntervalMs() * (1 << Math.max(0, failures - 1));
-      maxDelayMs = Math.min(maxDelayMs, isUnresponsive ? MAX_UNRESPONSIVE_DELAY_MS : MAX_BACKOFF_MS);
+      maxDelayMs =
+          Math.min(maxDelayMs, isUnresponsive ? MAX_UNRESPONSIVE_DELAY_MS : MAX_BACKOFF_MS);
       scheduleCall(maxDelayMs * (1 + 2 * random.nextDouble()) / 3);
     }
   }
--- a/src/main/java/ternscale/policy/Pending.java
+++ b/src/main/java/ternscale/policy/Pending.java
@@ -16,7 +16,7 @@
   final RequestClass requestClass;
   final double arrivedAt;
   final boolean isLong;
-  final List<Attempt> openAttempts = new ArrayList<>(2);
+  final List<Attempt> inFlight = new ArrayList<>(2);
   final List<Host> failedOn = new ArrayList<>(2);
   int attemptCount;
   boolean ended;
@@ -52,11 +52,12 @@
 
   /** Records an attempt that ended without proof that it never ran. */
   void noteMayHaveRun(Attempt a) {
-    firstMayHaveRun = firstMayHaveRun == null || a.sentAt < firstMayHaveRun.sentAt ? a : firstMayHaveRun;
+    firstMayHaveRun =
+        firstMayHaveRun == null || a.sentAt < firstMayHaveRun.sentAt ? a : firstMayHaveRun;
   }
 
   boolean anyMayHaveRun() {
-    return firstMayHaveRun != null || !openAttempts.isEmpty();
+    return firstMayHaveRun != null || !inFlight.isEmpty();
   }
 
   /** Rule 2 (no effect twice): whether another attempt may be sent to this host now. */
@@ -66,7 +67,7 @@
     }
     return requestClass.effect() != Effect.ONCE
         && (firstMayHaveRun == null || sharesDedupScope(firstMayHaveRun, h, now, marginMs))
-        && openAttempts.stream().allMatch(a -> sharesDedupScope(a, h, now, marginMs));
+        && inFlight.stream().allMatch(a -> sharesDedupScope(a, h, now, marginMs));
   }
 
   private boolean sharesDedupScope(Attempt first, Host h, double now, double marginMs) {
--- a/src/main/java/ternscale/policy/Selector.java
+++ b/src/main/java/ternscale/policy/Selector.java
@@ -76,8 +76,10 @@
     this.hosts = hosts;
     this.settings = settings;
     this.random = random;
-    double penalty = CROSS_ZONE_PENALTY_PER_COST * (settings.costs().crossZone() - NEGLIGIBLE_CROSS_ZONE_COST);
-    maxCrossZonePenalty = settings.hostsCacheByKey() ? 0 : Math.min(MAX_CROSS_ZONE_PENALTY, Math.max(0, penalty));
+    double penalty =
+        CROSS_ZONE_PENALTY_PER_COST * (settings.costs().crossZone() - NEGLIGIBLE_CROSS_ZONE_COST);
+    maxCrossZonePenalty =
+        settings.hostsCacheByKey() ? 0 : Math.min(MAX_CROSS_ZONE_PENALTY, Math.max(0, penalty));
   }
 
   /** Records a request's key and the number of requests in flight. */
@@ -122,7 +124,9 @@
     if (n <= 1) {
       return n == 0 ? null : candidates[0];
     }
-    return byKey ? drawByKey(key, candidates, n, fewestInFlight, h -> true) : draw(keepOwnSubset(n));
+    return byKey
+        ? drawByKey(key, candidates, n, fewestInFlight, h -> true)
+        : draw(keepOwnSubset(n));
   }
 
   /** Collects the hosts with the fewest requests in flight, in order; returns their number. */
@@ -144,7 +148,8 @@
     refreshedAt = now;
     int size = (int) Math.max(MIN_SUBSET_SIZE, SUBSET_PER_IN_FLIGHT * meanInFlight);
     List<Host> ring = hosts.ring;
-    crossZonePenalty = maxCrossZonePenalty * Math.max(0, 1 - hosts.zoneGap(settings.zone()) / MAX_ZONE_GAP);
+    crossZonePenalty =
+        maxCrossZonePenalty * Math.max(0, 1 - hosts.zoneGap(settings.zone()) / MAX_ZONE_GAP);
     for (Host h : ring) {
       h.drawWeight = h.weight * Math.exp(-SLOWNESS_POWER * hosts.slowness(h));
       h.inSubset = size >= ring.size();
@@ -169,9 +174,12 @@
   /** Draws from a key's hosts with this many requests in flight; null if fewer than two are. */
   private Host drawByKey(String key, Host[] from, int size, int inFlight, Predicate<Host> ready) {
     int keyRequests = keyCounts.getOrDefault(key, 0) + previousKeyCounts.getOrDefault(key, 0);
-    double share = keyRequests / (requestsInWindow + (previousKeyCounts.isEmpty() ? 1.0 : KEY_WINDOW_REQUESTS));
+    double share =
+        keyRequests
+            / (requestsInWindow + (previousKeyCounts.isEmpty() ? 1.0 : KEY_WINDOW_REQUESTS));
     boolean sampleSuffices = requestsInWindow >= 50 || !previousKeyCounts.isEmpty();
-    int replicas = 1 + (sampleSuffices ? (int) (share * hosts.ring.size() / KEY_SHARE_PER_HOST) : 0);
+    int replicas =
+        1 + (sampleSuffices ? (int) (share * hosts.ring.size() / KEY_SHARE_PER_HOST) : 0);
     int maxCandidates = Math.min(Math.max(2, replicas), candidates.length);
     long keyHash = mix(key.hashCode());
     int n = 0;
@@ -179,7 +187,7 @@
       Host h = from[i];
       double u = ((mix(keyHash ^ h.hash) >>> 11) + 0.5) * 0x1.0p-53;
       // As -log u > 1 - u, most hosts are ruled out without computing a logarithm.
-      double w = h.connectionUsedAt > connectionKeptSince ? REUSE_WEIGHT * h.drawWeight : h.drawWeight;
+      double w = h.lastUsedAt > connectionKeptSince ? REUSE_WEIGHT * h.drawWeight : h.drawWeight;
       boolean ranksLast = n == maxCandidates && (1 - u) * LOG_ROUNDING_MARGIN > score[n - 1] * w;
       double s = ranksLast ? Double.POSITIVE_INFINITY : -Math.log(u) / w;
       if (h.inFlight != inFlight || (n == maxCandidates && s >= score[n - 1]) || !ready.test(h)) {
--- a/src/test/java/ternscale/policy/ConnectionReuseTest.java
+++ b/src/test/java/ternscale/policy/ConnectionReuseTest.java
@@ -29,7 +29,8 @@
   private static final double LENGTH_MS = 20_000;
   private static final double KEY_MEMORY_MS = 6_000;
 
-  private record PendingAttempt(double endsAt, int gateway, FakeGateway.Sent sent, double elapsedMs) {}
+  private record PendingAttempt(
+      double endsAt, int gateway, FakeGateway.Sent sent, double elapsedMs) {}
 
   private record Metrics(double handshakeShare, double maxRelativeLoad, double cacheHitShare) {}
 
@@ -39,7 +40,9 @@
    * @param idleMs how long a connection is kept after its last use
    */
   private static Metrics simulate(double handshakeCost, double idleMs, long seed) {
-    Settings settings = FakeGateway.withHandshakeCost(handshakeCost, FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ALL));
+    Settings settings =
+        FakeGateway.withHandshakeCost(
+            handshakeCost, FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ALL));
     List<FakeGateway> fleet = new ArrayList<>();
     for (int i = 0; i < GATEWAYS; i++) {
       FakeGateway g = new FakeGateway(settings, seed * 1_000 + i);
@@ -51,7 +54,8 @@
     for (int i = 0; i < KEYS; i++) {
       shares[i] = (i == 0 ? 0 : shares[i - 1]) + 1.0 / (i + 1);
     }
-    PriorityQueue<PendingAttempt> inFlight = new PriorityQueue<>(Comparator.comparingDouble(PendingAttempt::endsAt));
+    PriorityQueue<PendingAttempt> inFlight =
+        new PriorityQueue<>(Comparator.comparingDouble(PendingAttempt::endsAt));
     Map<String, Double> usedAt = new HashMap<>();
     Map<String, Double> keyAt = new HashMap<>();
     Map<String, Integer> load = new HashMap<>();
@@ -83,8 +87,8 @@
       assertThat(g.sent).as("LC* holds no request here").hasSizeGreaterThan(sent);
       String host = g.lastSent().host();
       requests++;
-      Double connectionUsedAt = usedAt.remove(number + host);
-      handshakes += connectionUsedAt == null || now - connectionUsedAt > idleMs ? 1 : 0;
+      Double lastUsedAt = usedAt.remove(number + host);
+      handshakes += lastUsedAt == null || now - lastUsedAt > idleMs ? 1 : 0;
       Double keyUsedAt = keyAt.put(key + host, now);
       cacheHits += keyUsedAt != null && now - keyUsedAt < KEY_MEMORY_MS ? 1 : 0;
       load.merge(host, 1, Integer::sum);
@@ -92,7 +96,10 @@
       inFlight.add(new PendingAttempt(now + elapsedMs, number, g.lastSent(), elapsedMs));
     }
     double maxRequests = load.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-    return new Metrics((double) handshakes / requests, maxRequests * HOSTS / requests, (double) cacheHits / requests);
+    return new Metrics(
+        (double) handshakes / requests,
+        maxRequests * HOSTS / requests,
+        (double) cacheHits / requests);
   }
 
   @Test
@@ -117,7 +124,10 @@
 
   private static boolean isClosedAfter(double handshakeCost, double idleMs) {
     FakeGateway g =
-        new FakeGateway(FakeGateway.withHandshakeCost(handshakeCost, FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ALL)), 1);
+        new FakeGateway(
+            FakeGateway.withHandshakeCost(
+                handshakeCost, FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ALL)),
+            1);
     g.addHosts(2);
     g.request(0, 100);
     g.now += 100;
--- a/src/test/java/ternscale/policy/FakeGateway.java
+++ b/src/test/java/ternscale/policy/FakeGateway.java
@@ -13,7 +13,10 @@
 import ternscale.api.Settings.Effect;
 import ternscale.api.Settings.RequestClass;
 
-/** A gateway for tests that records the balancer's actions as short lines. */
+/**
+ * A gateway for tests that records the balancer's actions as short lines. The digests of {@link
+ * SelectionDigestTest} cover these lines, so their texts are fixed.
+ */
 final class FakeGateway implements Actions {
   record Sent(String request, String host, int attempt) {}
 
@@ -63,7 +66,8 @@
 
   /** Discovery answers on request, with this maximum time between updates. */
   static Settings withMaxPollInterval(double maxPollIntervalMs) {
-    Settings s = settings(Settings.Discovery.ON_REQUEST, requestClass(Effect.REPEATABLE, DedupScope.ALL));
+    Settings s =
+        settings(Settings.Discovery.ON_REQUEST, requestClass(Effect.REPEATABLE, DedupScope.ALL));
     return new Settings(
         s.instanceIndex(),
         s.instanceCount(),
@@ -182,7 +186,8 @@
 
   String request(int requestClass, double costHint) {
     String id = "r" + nextId++;
-    balancer.onRequest(now, new RequestInfo(id, requestClass, 0, now + 2000, costHint, null, false, false));
+    balancer.onRequest(
+        now, new RequestInfo(id, requestClass, 0, now + 2000, costHint, null, false, false));
     return id;
   }
 
--- a/src/test/java/ternscale/policy/HostChurnTest.java
+++ b/src/test/java/ternscale/policy/HostChurnTest.java
@@ -17,7 +17,8 @@
 /** Hosts that are replaced under new ids. */
 class HostChurnTest {
   private static final Settings SETTINGS =
-      FakeGateway.settings(Discovery.PUSHED, FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ALL));
+      FakeGateway.settings(
+          Discovery.PUSHED, FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ALL));
 
   @Test
   void forgetsRemovedHosts() {
--- a/src/test/java/ternscale/policy/HostClockTest.java
+++ b/src/test/java/ternscale/policy/HostClockTest.java
@@ -18,7 +18,8 @@
   private static final double NOW = 100 * 3_600_000.0;
 
   private final Settings settings =
-      FakeGateway.settings(Settings.Discovery.PUSHED, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
+      FakeGateway.settings(
+          Settings.Discovery.PUSHED, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
   private final ColdStart coldStart = new ColdStart(settings.rules(), new Random(1), NOW);
   private final HostTable hosts = new HostTable(settings, coldStart);
 
--- a/src/test/java/ternscale/policy/LcStarBalancerTest.java
+++ b/src/test/java/ternscale/policy/LcStarBalancerTest.java
@@ -15,7 +15,8 @@
 
 class LcStarBalancerTest {
   private static FakeGateway gateway(Effect effect, DedupScope dedupScope) {
-    return new FakeGateway(FakeGateway.settings(Discovery.PUSHED, FakeGateway.requestClass(effect, dedupScope)), 7);
+    return new FakeGateway(
+        FakeGateway.settings(Discovery.PUSHED, FakeGateway.requestClass(effect, dedupScope)), 7);
   }
 
   @Test
@@ -96,7 +97,8 @@
     for (int seed = 0; seed < 20; seed++) {
       FakeGateway g =
           new FakeGateway(
-              FakeGateway.settings(Discovery.PUSHED, FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ZONE)),
+              FakeGateway.settings(
+                  Discovery.PUSHED, FakeGateway.requestClass(Effect.BY_KEY, DedupScope.ZONE)),
               seed);
       g.addHosts(8);
       String id = g.request(0, 0);
--- a/src/test/java/ternscale/policy/LcStarExtensionsTest.java
+++ b/src/test/java/ternscale/policy/LcStarExtensionsTest.java
@@ -22,7 +22,8 @@
 /** Each extension of LC*, and the failure that it guards against, at a single balancer. */
 class LcStarExtensionsTest {
   private static final Settings REPEATABLE =
-      FakeGateway.settings(Discovery.PUSHED, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
+      FakeGateway.settings(
+          Discovery.PUSHED, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
 
   /** Serves requests one at a time and counts them by host. */
   private static TreeMap<String, Integer> serve(FakeGateway g, int n, double gapMs) {
@@ -179,7 +180,9 @@
         before = g.sent.size();
         FakeGateway.Sent last = g.lastSent();
         boolean rejects =
-            last.host().equals("h1") && (++sent > 0) && (servesEvery == 0 || sent % servesEvery > 0);
+            last.host().equals("h1")
+                && (++sent > 0)
+                && (servesEvery == 0 || sent % servesEvery > 0);
         g.outcome(last, rejects ? Result.REJECTED : Result.OK, rejects ? 1 : 20, !rejects);
       }
     }
@@ -189,7 +192,10 @@
   /** Share of 2,000 sequential requests sent to the other zone, given the zones' latencies. */
   private static double crossZoneShare(double cost, double ownMs, double otherMs) {
     FakeGateway g =
-        new FakeGateway(FakeGateway.withCrossZoneCost(cost, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL)), 7);
+        new FakeGateway(
+            FakeGateway.withCrossZoneCost(
+                cost, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL)),
+            7);
     g.addHosts(8);
     int crossed = 0;
     for (int i = 0; i < 4_000; i++) {
@@ -215,8 +221,13 @@
   void shedsLowValueClassLessWhereObjectiveWeightsWorstClass() {
     Settings.RequestClass lowValue = classOfValue(1);
     Settings.RequestClass highValue = classOfValue(2);
-    int[] unweighted = overload(new FakeGateway(FakeGateway.settings(Discovery.PUSHED, lowValue, highValue), 5), 1_000, 0.7);
-    Settings objective = FakeGateway.withObjective(new Settings.Objective(.5, .2, .3, 0), lowValue, highValue);
+    int[] unweighted =
+        overload(
+            new FakeGateway(FakeGateway.settings(Discovery.PUSHED, lowValue, highValue), 5),
+            1_000,
+            0.7);
+    Settings objective =
+        FakeGateway.withObjective(new Settings.Objective(.5, .2, .3, 0), lowValue, highValue);
     int[] weighted = overload(new FakeGateway(objective, 5), 1_000, 0.7);
     assertThat(unweighted[1]).isLessThan(20);
     assertThat(weighted[0]).isLessThan(unweighted[0] - 50);
@@ -225,7 +236,9 @@
 
   @Test
   void shedsLowValueClassFirst() {
-    FakeGateway g = new FakeGateway(FakeGateway.settings(Discovery.PUSHED, classOfValue(1), classOfValue(9)), 5);
+    FakeGateway g =
+        new FakeGateway(
+            FakeGateway.settings(Discovery.PUSHED, classOfValue(1), classOfValue(9)), 5);
     int[] rejected = overload(g, 400, 0);
     assertThat(rejected[0]).isGreaterThan(100).isGreaterThan(rejected[1]);
     int served = 0;
@@ -259,7 +272,8 @@
   @Test
   void gatewaysAgreeOnHostOfKeyAndSpreadWithoutKeys() {
     Settings keyed =
-        FakeGateway.settings(Discovery.PUSHED, true, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
+        FakeGateway.settings(
+            Discovery.PUSHED, true, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
     Set<String> forKey = new HashSet<>();
     Set<String> without = new HashSet<>();
     for (int seed = 0; seed < 20; seed++) {
@@ -318,18 +332,21 @@
       g.addHosts(2);
       for (int repeat = 0; repeat < 6; repeat++) {
         g.updateMembers(Kind.SILENT);
-        assertThat(g.timerDelayMs).isBetween(minDelayMs, CHANGE_DEADLINE_MS - 2_500 - CALL_WAIT_MS - 500);
+        assertThat(g.timerDelayMs)
+            .isBetween(minDelayMs, CHANGE_DEADLINE_MS - 2_500 - CALL_WAIT_MS - 500);
         delays.add(g.timerDelayMs);
         g.balancer.onTimer(g.now, Membership.TIMER);
       }
       for (int repeat = 0; repeat < 6; repeat++) {
         g.updateMembers(Kind.FAILED);
-        assertThat(g.timerDelayMs).isBetween(minDelayMs, CHANGE_DEADLINE_MS - 2 * CALL_WAIT_MS - 500);
+        assertThat(g.timerDelayMs)
+            .isBetween(minDelayMs, CHANGE_DEADLINE_MS - 2 * CALL_WAIT_MS - 500);
         delays.add(g.timerDelayMs);
         g.balancer.onTimer(g.now, Membership.TIMER);
       }
       g.updateMembers(Kind.SILENT);
-      assertThat(g.timerDelayMs).isBetween(minDelayMs, CHANGE_DEADLINE_MS - 2_500 - CALL_WAIT_MS - 500);
+      assertThat(g.timerDelayMs)
+          .isBetween(minDelayMs, CHANGE_DEADLINE_MS - 2_500 - CALL_WAIT_MS - 500);
     }
     assertThat(delays).hasSizeGreaterThan(500);
   }
@@ -405,7 +422,10 @@
   private static long rejectionsWithLateResponses(boolean clientsRetry) {
     Settings marked =
         FakeGateway.settings(
-            Discovery.PUSHED, false, true, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
+            Discovery.PUSHED,
+            false,
+            true,
+            FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
     FakeGateway g = new FakeGateway(marked, 3);
     g.addHosts(4);
     for (int i = 0; i < 1200; i++) {
--- a/src/test/java/ternscale/policy/RuleCheckTest.java
+++ b/src/test/java/ternscale/policy/RuleCheckTest.java
@@ -252,7 +252,8 @@
     }
   }
 
-  private static void endAttempt(Checker c, LcStarBalancer balancer, TrackedRequest r, int i, Result result) {
+  private static void endAttempt(
+      Checker c, LcStarBalancer balancer, TrackedRequest r, int i, Result result) {
     Attempt t = r.attempts.get(i);
     t.result = result;
     boolean ended = r.answered || result == Result.OK;
--- a/src/test/java/ternscale/policy/SlowStartFleetTest.java
+++ b/src/test/java/ternscale/policy/SlowStartFleetTest.java
@@ -26,7 +26,8 @@
  */
 class SlowStartFleetTest {
   private static final Settings SETTINGS =
-      FakeGateway.settings(Settings.Discovery.PUSHED, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
+      FakeGateway.settings(
+          Settings.Discovery.PUSHED, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL));
 
   /** The number of hosts is this or the number of gateways, whichever is larger. */
   private static final int MIN_HOSTS = 20;
@@ -142,7 +143,7 @@
       restarted = true;
       for (int i = 0; i < gateways.size(); i += 2) {
         int index = i;
-        responses.removeIf(answer -> answer.gateway() == index);
+        responses.removeIf(response -> response.gateway() == index);
         FakeGateway restartedGateway = gateway(i, gateways.size(), random.nextLong());
         announceColdHost(restartedGateway);
         gateways.set(i, restartedGateway);
--- a/src/test/java/ternscale/policy/UnresponsiveZoneTest.java
+++ b/src/test/java/ternscale/policy/UnresponsiveZoneTest.java
@@ -20,21 +20,26 @@
   private static final double PARTITION_MS = 2_000;
   private static final double END_MS = 10_000;
 
-  private record PendingAttempt(double endsAt, FakeGateway.Sent sent, Result result, double elapsedMs) {}
+  private record PendingAttempt(
+      double endsAt, FakeGateway.Sent sent, Result result, double elapsedMs) {}
 
   /** Share of requests sent to unresponsive hosts from 2 s after the partition on. */
   private static double lostShare(int respondingHosts, Result unresponsiveResult, double afterMs) {
     FakeGateway g =
         new FakeGateway(
             FakeGateway.settings(
-                Discovery.PUSHED, true, FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL)),
+                Discovery.PUSHED,
+                true,
+                FakeGateway.requestClass(Effect.REPEATABLE, DedupScope.ALL)),
             3);
     HostEntry[] hosts = new HostEntry[HOSTS];
     for (int i = 0; i < HOSTS; i++) {
-      hosts[i] = FakeGateway.host("h" + i, i < respondingHosts ? 0 : 1, HostEntry.Availability.UP, 0);
+      hosts[i] =
+          FakeGateway.host("h" + i, i < respondingHosts ? 0 : 1, HostEntry.Availability.UP, 0);
     }
     g.updateMembers(MembersUpdate.Kind.FULL, hosts);
-    PriorityQueue<PendingAttempt> inFlight = new PriorityQueue<>(Comparator.comparingDouble(PendingAttempt::endsAt));
+    PriorityQueue<PendingAttempt> inFlight =
+        new PriorityQueue<>(Comparator.comparingDouble(PendingAttempt::endsAt));
     double start = g.now;
     int requests = 0;
     int lost = 0;
@@ -52,9 +57,12 @@
         continue;
       }
       FakeGateway.Sent s = g.lastSent();
-      boolean partitioned = now > start + PARTITION_MS && Integer.parseInt(s.host().substring(1)) >= respondingHosts;
+      boolean partitioned =
+          now > start + PARTITION_MS && Integer.parseInt(s.host().substring(1)) >= respondingHosts;
       double elapsedMs = partitioned ? afterMs : 50;
-      inFlight.add(new PendingAttempt(now + elapsedMs, s, partitioned ? unresponsiveResult : Result.OK, elapsedMs));
+      inFlight.add(
+          new PendingAttempt(
+              now + elapsedMs, s, partitioned ? unresponsiveResult : Result.OK, elapsedMs));
       requests += now > start + 2 * PARTITION_MS ? 1 : 0;
       lost += partitioned && now > start + 2 * PARTITION_MS ? 1 : 0;
     }
