--- a/src/main/java/ternscale/adapter/Adapter.java
+++ b/src/main/java/ternscale/adapter/Adapter.java
@@ -55,8 +55,8 @@
 
   /** Dispatches one event. Returns false if the balancer failed, which ends the simulation. */
   private boolean handle(String msg, boolean failed) {
-    int who = in.nonNegativeInt(Field.WHO);
-    Runnable event = parse(msg, who);
+    int instance = in.nonNegativeInt(Field.WHO);
+    Runnable event = parse(msg, instance);
     if (failed) {
       return true;
     }
@@ -65,38 +65,38 @@
       return true;
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      out.writeFailure(who, e + (trace.length > 0 ? " at " + trace[0] : ""));
+      out.writeFailure(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
       return false;
     }
   }
 
-  private Runnable parse(String msg, int who) {
+  private Runnable parse(String msg, int instance) {
     return switch (msg) {
-      case "OpenInstance" -> openInstance(who);
+      case "OpenInstance" -> openInstance(instance);
       case "Kill" -> {
-        Balancer b = balancer(who);
+        Balancer b = balancer(instance);
         yield () -> {
           b.close();
-          balancers.remove(who);
+          balancers.remove(instance);
         };
       }
-      case "Members" -> members(balancer(who));
-      case "Call" -> request(balancer(who));
-      case "Ended" -> attemptEnded(balancer(who));
+      case "Members" -> members(balancer(instance));
+      case "Call" -> request(balancer(instance));
+      case "Ended" -> attemptEnded(balancer(instance));
       case "CancelledByClient" -> {
-        Balancer b = balancer(who);
-        String call = in.text(Field.CALL);
-        yield () -> b.onClientDisconnected(now, call);
+        Balancer b = balancer(instance);
+        String requestId = in.text(Field.CALL);
+        yield () -> b.onClientDisconnected(now, requestId);
       }
-      case "Accepted" -> responseStarted(balancer(who));
+      case "Accepted" -> responseStarted(balancer(instance));
       case "Reminder" -> {
-        Balancer b = balancer(who);
-        long name = in.integer(Field.NAME);
-        yield () -> b.onTimer(now, name);
+        Balancer b = balancer(instance);
+        long timer = in.integer(Field.NAME);
+        yield () -> b.onTimer(now, timer);
       }
-      case "Sampled" -> probeEnded(balancer(who));
+      case "Sampled" -> probeEnded(balancer(instance));
       case "Memo" -> {
-        Balancer b = balancer(who);
+        Balancer b = balancer(instance);
         int sender = in.nonNegativeInt(Field.SENDER);
         String data = in.textOr(Field.DATA, "");
         yield () -> b.onPeerMessage(now, sender, data);
@@ -105,15 +105,15 @@
     };
   }
 
-  private Balancer balancer(int who) {
-    Balancer b = balancers.get(who);
+  private Balancer balancer(int instance) {
+    Balancer b = balancers.get(instance);
     if (b == null) {
-      throw in.error("field who refers to instance " + who + ", which is not open");
+      throw in.error("field who refers to instance " + instance + ", which is not open");
     }
     return b;
   }
 
-  private Runnable openInstance(int who) {
+  private Runnable openInstance(int instance) {
     long seed = in.integer(Field.RANDOM_SEED);
     ternscale.api.Settings settings;
     try {
@@ -121,7 +121,9 @@
     } catch (WireException | IllegalArgumentException e) {
       throw in.error("settings: " + e.getMessage());
     }
-    return () -> balancers.put(who, new LcStarBalancer(settings, seed, now, out.forInstance(who)));
+    return () ->
+        balancers.put(
+            instance, new LcStarBalancer(settings, seed, now, out.forInstance(instance)));
   }
 
   private Runnable members(Balancer b) {
@@ -167,10 +169,10 @@
   }
 
   private Runnable responseStarted(Balancer b) {
-    String call = in.text(Field.CALL);
-    int shot = in.nonNegativeIntOr(Field.SHOT, 0);
+    String requestId = in.text(Field.CALL);
+    int attempt = in.nonNegativeIntOr(Field.SHOT, 0);
     String host = in.text(Field.HOST);
-    return () -> b.onResponseStarted(now, call, shot, host);
+    return () -> b.onResponseStarted(now, requestId, attempt, host);
   }
 
   private Runnable probeEnded(Balancer b) {
--- a/src/main/java/ternscale/adapter/WireWriter.java
+++ b/src/main/java/ternscale/adapter/WireWriter.java
@@ -43,13 +43,13 @@
     void write() throws IOException;
   }
 
-  private void writeAction(String name, int who, ActionFields body) {
+  private void writeAction(String name, int instance, ActionFields body) {
     try {
       json.writeStartObject();
       json.writeFieldName(MSG);
       json.writeString(name);
       json.writeFieldName(WHO);
-      json.writeNumber(who);
+      json.writeNumber(instance);
       body.write();
       json.writeEndObject();
       json.writeRaw('\n');
@@ -68,27 +68,27 @@
     json.writeString(id);
   }
 
-  void writeFailure(int who, String text) {
-    writeAction("GiveIn", who, () -> json.writeStringField("line", text));
+  void writeFailure(int instance, String text) {
+    writeAction("GiveIn", instance, () -> json.writeStringField("line", text));
   }
 
   /** Creates the actions of one instance. */
-  Actions forInstance(int who) {
-    return new InstanceActions(who);
+  Actions forInstance(int instance) {
+    return new InstanceActions(instance);
   }
 
   private final class InstanceActions implements Actions {
-    private final int who;
+    private final int instance;
 
-    InstanceActions(int who) {
-      this.who = who;
+    InstanceActions(int instance) {
+      this.instance = instance;
     }
 
     @Override
     public void send(String requestId, String host, double timeoutMs) {
       writeAction(
           "Place",
-          who,
+          instance,
           () -> {
             writeCall(requestId);
             writeHost(host);
@@ -102,7 +102,7 @@
     public void reject(String requestId, double retryAfterMs) {
       writeAction(
           "Shed",
-          who,
+          instance,
           () -> {
             writeCall(requestId);
             if (retryAfterMs > 0) {
@@ -113,14 +113,14 @@
 
     @Override
     public void fail(String requestId) {
-      writeAction("DropRequest", who, () -> writeCall(requestId));
+      writeAction("DropRequest", instance, () -> writeCall(requestId));
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
       writeAction(
           "Abandon",
-          who,
+          instance,
           () -> {
             writeCall(requestId);
             json.writeNumberField("shot", attempt);
@@ -129,19 +129,19 @@
 
     @Override
     public void probe(String host) {
-      writeAction("SoundOut", who, () -> writeHost(host));
+      writeAction("SoundOut", instance, () -> writeHost(host));
     }
 
     @Override
     public void closeIdle(String host) {
-      writeAction("LetGo", who, () -> writeHost(host));
+      writeAction("LetGo", instance, () -> writeHost(host));
     }
 
     @Override
     public void setTimer(long timer, double delayMs) {
       writeAction(
           "Schedule",
-          who,
+          instance,
           () -> {
             json.writeNumberField("sleep_for", delayMs);
             json.writeNumberField("name", timer);
@@ -150,24 +150,24 @@
 
     @Override
     public void poll() {
-      writeAction("Lookup", who, () -> {});
+      writeAction("Lookup", instance, () -> {});
     }
 
     @Override
     public void watch(boolean on) {
-      writeAction("Watch", who, () -> json.writeBooleanField("want", on));
+      writeAction("Watch", instance, () -> json.writeBooleanField("want", on));
     }
 
     @Override
     public void log(String line) {
-      writeAction("JournalLine", who, () -> json.writeStringField("line", line));
+      writeAction("JournalLine", instance, () -> json.writeStringField("line", line));
     }
 
     @Override
     public void sendToPeer(int peer, String data) {
       writeAction(
           "Tell",
-          who,
+          instance,
           () -> {
             if (peer < 0) {
               json.writeStringField("addressee", "*");
--- a/src/test/java/ternscale/policy/ConnectionReuseTest.java
+++ b/src/test/java/ternscale/policy/ConnectionReuseTest.java
@@ -67,11 +67,11 @@
     while (now < end) {
       now += -Math.log(1 - random.nextDouble()) / RATE_PER_MS;
       while (!inFlight.isEmpty() && inFlight.peek().endsAt() <= now) {
-        PendingAttempt call = inFlight.poll();
-        FakeGateway g = fleet.get(call.gateway());
-        g.now = call.endsAt();
-        g.outcome(call.sent(), Result.OK, call.elapsedMs(), true);
-        usedAt.put(call.gateway() + call.sent().host(), call.endsAt());
+        PendingAttempt attempt = inFlight.poll();
+        FakeGateway g = fleet.get(attempt.gateway());
+        g.now = attempt.endsAt();
+        g.outcome(attempt.sent(), Result.OK, attempt.elapsedMs(), true);
+        usedAt.put(attempt.gateway() + attempt.sent().host(), attempt.endsAt());
       }
       int number = random.nextInt(GATEWAYS);
       FakeGateway g = fleet.get(number);
--- a/src/test/java/ternscale/policy/RuleCheckTest.java
+++ b/src/test/java/ternscale/policy/RuleCheckTest.java
@@ -55,7 +55,7 @@
       this.info = info;
     }
 
-    RequestClass type() {
+    RequestClass requestClass() {
       return SETTINGS.classes().get(info.requestClass());
     }
   }
@@ -78,10 +78,10 @@
       assertThat(r.attempts.size()).isLessThan(SETTINGS.limits().maxAttempts());
       assertThat(h.availability()).isEqualTo(Availability.UP);
       for (Attempt t : r.attempts) {
-        if (t.mayHaveRun() && r.type().effect() != Effect.REPEATABLE) {
-          assertThat(r.type().effect()).isEqualTo(Effect.BY_KEY);
+        if (t.mayHaveRun() && r.requestClass().effect() != Effect.REPEATABLE) {
+          assertThat(r.requestClass().effect()).isEqualTo(Effect.BY_KEY);
           assertThat(h.zone()).isEqualTo(t.host.zone());
-          assertThat(now - t.sentAt).isLessThan(r.type().dedupWindowMs());
+          assertThat(now - t.sentAt).isLessThan(r.requestClass().dedupWindowMs());
         }
       }
       r.attempts.add(new Attempt(h, now));
@@ -98,7 +98,7 @@
     public void reject(String requestId, double retryAfterMs) {
       actions.add("refuse " + requestId);
       TrackedRequest r = requests.get(requestId);
-      if (r.type().effect() != Effect.REPEATABLE) {
+      if (r.requestClass().effect() != Effect.REPEATABLE) {
         assertThat(r.attempts).noneMatch(Attempt::mayHaveRun);
       }
       recordFinalResponse(requestId);
--- a/src/test/java/ternscale/policy/UnresponsiveZoneTest.java
+++ b/src/test/java/ternscale/policy/UnresponsiveZoneTest.java
@@ -45,9 +45,9 @@
     int lost = 0;
     for (double now = start; now < start + END_MS; now += 40) {
       while (!inFlight.isEmpty() && inFlight.peek().endsAt() <= now) {
-        PendingAttempt call = inFlight.poll();
-        g.now = call.endsAt();
-        g.outcome(call.sent(), call.result(), call.elapsedMs(), true);
+        PendingAttempt attempt = inFlight.poll();
+        g.now = attempt.endsAt();
+        g.outcome(attempt.sent(), attempt.result(), attempt.elapsedMs(), true);
       }
       g.now = now;
       int before = g.sent.size();
