--- a/src/main/java/hazelspoke/back/http/HostClient.java
+++ b/src/main/java/hazelspoke/back/http/HostClient.java
@@ -3,10 +3,10 @@
 import hazelspoke.core.ByteBudget;
 import hazelspoke.core.Clock;
 import hazelspoke.core.HostCall;
-import hazelspoke.core.Hosts;
+import hazelspoke.core.HostTransport;
 import hazelspoke.net.Buffers;
+import hazelspoke.net.SocketPolling;
 import hazelspoke.net.Transport;
-import hazelspoke.net.Turns;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -28,7 +28,7 @@
 import ternscale.api.Outcome.Result;
 
 /** The connections to hosts: one pool a host, most recently used first, and a bound for all. */
-public final class HostClient implements Hosts {
+public final class HostClient implements HostTransport {
   /** A rested connection is closed after this part of the time after which its host closes it. */
   private static final double IDLE_PART = 0.8;
 
@@ -68,9 +68,9 @@
     bootstrap =
         new Bootstrap()
             .group(loop)
-            .channel(transport.client())
+            .channel(transport.clientChannelType())
             .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.receiveAllocator())
             .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
             .option(
                 ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, limits.connectTimeoutMs()));
@@ -92,7 +92,7 @@
       }
     }
     if (displaced != null) {
-      forget(displaced.host());
+      remove(displaced.host());
     }
     Pool pool = pools.computeIfAbsent(host.host(), name -> new Pool());
     if (pool.host != null
@@ -106,7 +106,7 @@
   }
 
   @Override
-  public void forget(String host) {
+  public void remove(String host) {
     Pool pool = pools.remove(host);
     if (pool != null) {
       pool.forgotten = true;
@@ -115,9 +115,9 @@
   }
 
   @Override
-  public void keepOnly(Set<String> hosts) {
+  public void retainOnly(Set<String> hosts) {
     List<String> gone = pools.keySet().stream().filter(host -> !hosts.contains(host)).toList();
-    gone.forEach(this::forget);
+    gone.forEach(this::remove);
   }
 
   /** How many hosts are known. */
@@ -126,7 +126,7 @@
   }
 
   @Override
-  public Hosts.Ticket start(String host, HostCall call) {
+  public HostTransport.CallHandle start(String host, HostCall call) {
     Ticket ticket = new Ticket(call);
     Pool pool = pools.get(host);
     if (pool == null) {
@@ -174,7 +174,7 @@
   }
 
   /** One call under way; lets its owner stop waiting. */
-  private final class Ticket implements Hosts.Ticket {
+  private final class Ticket implements HostTransport.CallHandle {
     private final HostCall call;
     private HostConnection connection;
     private boolean begun;
@@ -186,12 +186,12 @@
 
     /** Whoever asked may have left while this process stood still: that is heard first. */
     private void beginAfterReading() {
-      Turns.afterReading(loop, this::begin);
+      SocketPolling.afterPoll(loop, this::begin);
     }
 
     private void begin() {
       // To ask may give this up, as it reads what the client has sent by now.
-      boolean may = !over && call.mayBegin();
+      boolean may = !over && call.maySendFirstByte();
       if (may && !over && connection.isOfListedHost()) {
         begun = true;
         connection.begin(call);
@@ -203,22 +203,22 @@
 
     private void fail(Result result) {
       if (!over) {
-        call.ended(result, "");
+        call.onEnd(result, "");
       }
     }
 
     @Override
-    public boolean isBegun() {
+    public boolean isFirstByteSent() {
       return begun;
     }
 
     @Override
-    public boolean isSent() {
+    public boolean isLastByteSent() {
       return connection != null && connection.isSent();
     }
 
     @Override
-    public void giveUp() {
+    public void cancel() {
       over = true;
       if (connection != null) {
         connection.giveUp();
@@ -273,7 +273,7 @@
                       ticket.connection.addTo(ch.pipeline());
                     }
                   })
-              .connect(transport.calling().apply(address));
+              .connect(transport.connectAddress().apply(address));
       connecting.addListener(
           done -> {
             if (done.isSuccess()) {
--- a/src/main/java/hazelspoke/back/http/HostConnection.java
+++ b/src/main/java/hazelspoke/back/http/HostConnection.java
@@ -1,16 +1,16 @@
 package hazelspoke.back.http;
 
 import hazelspoke.core.Body;
+import hazelspoke.core.BodyStream;
 import hazelspoke.core.ByteBudget;
 import hazelspoke.core.HostCall;
-import hazelspoke.core.Inflow;
 import hazelspoke.core.Request;
 import hazelspoke.http.BodyWriter;
+import hazelspoke.http.ChannelBodySource;
 import hazelspoke.http.HeadWriter;
 import hazelspoke.http.Headers;
 import hazelspoke.http.HttpLimits;
-import hazelspoke.http.ReadingSource;
-import hazelspoke.net.Turns;
+import hazelspoke.net.SocketPolling;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
@@ -84,7 +84,7 @@
   private ByteBudget.Share share;
 
   /** Where the rest of an answer goes that is too large to be held; null with any other. */
-  private Inflow passing;
+  private BodyStream passing;
 
   /** Of an answer that ends with its connection no length can be told. */
   private boolean endsByClose;
@@ -141,7 +141,7 @@
         new BodyWriter(
             channel,
             body,
-            body.wholeLength() == Body.UNKNOWN,
+            body.totalLength() == Body.UNKNOWN_LENGTH,
             wait ? this::allButLastWritten : this::lastWritten,
             this::broken);
     writer.start(head(request, next.remainingMs()));
@@ -157,9 +157,9 @@
         HeadWriter.request(channel.alloc(), safe ? "GET" : "POST", request.target())
             .add(request.metadata())
             .add(HttpHeaderNames.HOST, pool.authority())
-            .add(Headers.REMAINING, Headers.seconds(remainingMs));
-    long length = request.body().wholeLength();
-    if (length == Body.UNKNOWN) {
+            .add(Headers.REMAINING, Headers.formatSeconds(remainingMs));
+    long length = request.body().totalLength();
+    if (length == Body.UNKNOWN_LENGTH) {
       head.add(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     } else if (length > 0 || !safe) {
       head.add(HttpHeaderNames.CONTENT_LENGTH, Long.toString(length));
@@ -177,18 +177,18 @@
     EventLoop loop = channel.eventLoop();
     loop.schedule(
         // The news may lie unread, of this connection or of the client, where the loop stood still.
-        () -> Turns.afterReading(loop, () -> letGo(mine)),
+        () -> SocketPolling.afterPoll(loop, () -> letGo(mine)),
         LAST_BYTE_WAIT_MS,
         TimeUnit.MILLISECONDS);
   }
 
   /** Each step may end the call: what the host or the client has said by now is read first. */
   private void letGo(HostCall of) {
-    Turns.readPending(channel);
+    SocketPolling.readPending(channel);
     if (of == null || call != of || !channel.isActive()) {
       return;
     }
-    boolean may = of.mayFinish();
+    boolean may = of.maySendLastByte();
     if (call != of) {
       return;
     }
@@ -205,7 +205,7 @@
     if (written.isSuccess()) {
       sent = true;
       if (call != null) {
-        call.sent();
+        call.onSent();
       }
     } else {
       broken();
@@ -249,7 +249,7 @@
       HostCall mine = call;
       call = null;
       clear();
-      mine.ended(Result.ERROR, report());
+      mine.onEnd(Result.ERROR, report());
     }
     broken();
   }
@@ -295,17 +295,17 @@
     // One without a length ends with its connection, and so does one that broke off: only where the
     // head says that the connection ends is it taken for whole.
     endsByClose = length < 0 && !HttpUtil.isTransferEncodingChunked(response);
-    boolean fits = length <= Body.MOST_BYTES && !(endsByClose && reusable);
+    boolean fits = length <= Body.MAX_BYTES && !(endsByClose && reusable);
     if (!response.status().equals(HttpResponseStatus.OK)) {
       boolean turnedAway =
           (response.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                   || response.status().equals(HttpResponseStatus.GATEWAY_TIMEOUT))
-              && "1".equals(headers.get(Headers.TURNED_AWAY));
+              && "1".equals(headers.get(Headers.REJECTED));
       end(turnedAway ? Result.REJECTED : Result.ERROR);
     } else if (fits) {
       answer = new Body();
       share = client.answerBudget().share(this::resumeReading);
-      if (length > Body.WHOLE_ANSWER_BYTES) {
+      if (length > Body.MAX_BUFFERED_RESPONSE_BYTES) {
         passOn(length);
       }
     }
@@ -321,7 +321,7 @@
     }
     ByteBuf bytes = content.content();
     read += bytes.readableBytes();
-    if (read > Body.MOST_BYTES) {
+    if (read > Body.MAX_BYTES) {
       spoilt();
       return;
     }
@@ -333,8 +333,8 @@
       if (!share.add(more)) {
         channel.config().setAutoRead(false);
       }
-      if (answer.length() > Body.WHOLE_ANSWER_BYTES) {
-        passOn(Body.UNKNOWN);
+      if (answer.bufferedLength() > Body.MAX_BUFFERED_RESPONSE_BYTES) {
+        passOn(Body.UNKNOWN_LENGTH);
       }
     }
     if (content instanceof LastHttpContent) {
@@ -345,14 +345,14 @@
   /** Hands over an answer of which only the beginning is there; the rest goes on as it comes. */
   private void passOn(long length) {
     passing =
-        new Inflow(
-            new ReadingSource(channel) {
+        new BodyStream(
+            new ChannelBodySource(channel) {
               @Override
-              public void abandoned() {
+              public void onAbandoned() {
                 close();
               }
             });
-    answer.continueWith(passing, length);
+    answer.setRemainder(passing, length);
     hand();
   }
 
@@ -364,7 +364,7 @@
     answer = null;
     share = null;
     String report = probing ? body.text() : report();
-    done.answered(Headers.endToEnd(headers), report, body, held);
+    done.onAnswer(Headers.endToEnd(headers), report, body, held);
   }
 
   private void watchStall() {
@@ -401,7 +401,7 @@
     // connection before it can be used again.
     channel.eventLoop().execute(this::rest);
     if (passing != null) {
-      Inflow whole = passing;
+      BodyStream whole = passing;
       passing = null;
       whole.end();
     } else if (call != null) {
@@ -435,7 +435,7 @@
   private void broken() {
     reading = false;
     if (passing != null) {
-      Inflow cut = passing;
+      BodyStream cut = passing;
       passing = null;
       cut.fail();
     }
@@ -456,7 +456,7 @@
     HostCall ended = call;
     call = null;
     clear();
-    ended.ended(result, report());
+    ended.onEnd(result, report());
   }
 
   private void clear() {
--- a/src/main/java/hazelspoke/core/Answer.java
+++ b/src/main/java/hazelspoke/core/Answer.java
@@ -8,7 +8,7 @@
  * @param body of a host's answer; empty otherwise
  * @param share counts the body; whoever is given the answer releases it once it is written, or null
  * @param retryAfterMs of a refusal: when to come back, in milliseconds; 0 gives no advice
- * @param late of a failure: whether the client's time was up
+ * @param deadlineExceeded of a failure: whether the client's time was up
  */
 public record Answer(
     Outcome outcome,
@@ -16,7 +16,7 @@
     Body body,
     ByteBudget.Share share,
     double retryAfterMs,
-    boolean late) {
+    boolean deadlineExceeded) {
   /** What an answer promises. */
   public enum Outcome {
     /** A host has run it; the answer is the host's. */
--- a/src/main/java/hazelspoke/core/Attempt.java
+++ b/src/main/java/hazelspoke/core/Attempt.java
@@ -31,7 +31,7 @@
   /** Until when it may be written, on the clock. */
   private final double beginBy;
 
-  private Hosts.Ticket ticket;
+  private HostTransport.CallHandle ticket;
   private boolean over;
 
   /** Whether its last byte went out, whatever became of it. */
@@ -107,22 +107,22 @@
   @Override
   void due() {
     // Given up before its last byte was written, it never ran.
-    Result result = ticket.isSent() ? Result.TIMEOUT : Result.CONNECT_FAILED;
-    ticket.giveUp();
+    Result result = ticket.isLastByteSent() ? Result.TIMEOUT : Result.CONNECT_FAILED;
+    ticket.cancel();
     end(result, "");
   }
 
   /** Cancels it if nothing of it has been written: it never ran, and that is no host's fault. */
   void cancelIfNotBegun() {
-    if (!over && ticket != null && !ticket.isBegun()) {
-      ticket.giveUp();
+    if (!over && ticket != null && !ticket.isFirstByteSent()) {
+      ticket.cancel();
       endUnsent();
     }
   }
 
   /** Cancels it if its last byte has not been written. */
   void cancelIfNotSent() {
-    if (ticket != null && !over && !ticket.isSent()) {
+    if (ticket != null && !over && !ticket.isLastByteSent()) {
       cancelSoon();
     }
   }
@@ -142,7 +142,7 @@
 
   private void giveUp() {
     if (ticket != null && !over) {
-      ticket.giveUp();
+      ticket.cancel();
     }
   }
 
@@ -152,12 +152,12 @@
   }
 
   @Override
-  public boolean mayBegin() {
+  public boolean maySendFirstByte() {
     return services.guard().mayBegin(x, beginBy) == SendGuard.Verdict.ALLOWED;
   }
 
   @Override
-  public boolean mayFinish() {
+  public boolean maySendLastByte() {
     return services.guard().mayFinish(x, beginBy) == SendGuard.Verdict.ALLOWED;
   }
 
@@ -175,24 +175,24 @@
   }
 
   @Override
-  public void sent() {
+  public void onSent() {
     wasSent = true;
     services.guard().onSent(x);
     Request request = x.request();
-    if (request != null && request.body().rest() != null) {
+    if (request != null && request.body().remainder() != null) {
       uploadMs = elapsedMs();
     }
-    services.meter().sent();
+    services.meter().onSent();
   }
 
   @Override
-  public void answered(Metadata metadata, String loadReport, Body body, ByteBudget.Share share) {
+  public void onAnswer(Metadata metadata, String loadReport, Body body, ByteBudget.Share share) {
     listener.onHostAnswer(x, Answer.served(metadata, body, share));
     end(Result.OK, loadReport);
   }
 
   @Override
-  public void ended(Result result, String loadReport) {
+  public void onEnd(Result result, String loadReport) {
     end(result, loadReport);
   }
 
--- a/src/main/java/hazelspoke/core/Body.java
+++ b/src/main/java/hazelspoke/core/Body.java
@@ -10,26 +10,26 @@
 /**
  * The bytes of a body, copied out of the read buffers: pieces of a few bytes would otherwise each
  * keep a whole one. Of a large body only the beginning is held; the rest comes through an {@link
- * Inflow}.
+ * BodyStream}.
  */
 public final class Body {
   /** An answer of up to so many bytes is held until it is whole. */
-  public static final int WHOLE_ANSWER_BYTES = 65_536;
+  public static final int MAX_BUFFERED_RESPONSE_BYTES = 65_536;
 
   /**
    * And a request of up to so many while there is room: it can be tried again, and counts at no
    * host before it can run there.
    */
-  public static final int WHOLE_REQUEST_BYTES = 262_144;
+  public static final int MAX_BUFFERED_REQUEST_BYTES = 262_144;
 
   /** With little room left a request of more than this is passed on as it comes. */
-  public static final int LEAST_PASSED_ON_BYTES = 65_536;
+  public static final int STREAMING_THRESHOLD_BYTES = 65_536;
 
   /** The protocol allows no more, in either direction. */
-  public static final int MOST_BYTES = 32 << 20;
+  public static final int MAX_BYTES = 32 << 20;
 
   /** The length of a body whose sender has not told it. */
-  public static final long UNKNOWN = -1;
+  public static final long UNKNOWN_LENGTH = -1;
 
   private static final int FIRST_BYTES = 512;
   private static final int CHUNK_BYTES = 65_536;
@@ -37,36 +37,36 @@
   private final List<byte[]> full = new ArrayList<>();
   private byte[] last = new byte[0];
   private int lastLength;
-  private Inflow rest;
-  private long wholeLength;
+  private BodyStream remainder;
+  private long totalLength;
 
   /**
    * From now on what is held is the beginning only.
    *
-   * @param whole the length of all of it in bytes, or {@link #UNKNOWN}
+   * @param whole the length of all of it in bytes, or {@link #UNKNOWN_LENGTH}
    */
-  public void continueWith(Inflow more, long whole) {
-    rest = more;
-    wholeLength = whole;
+  public void setRemainder(BodyStream more, long whole) {
+    remainder = more;
+    totalLength = whole;
   }
 
   /** What comes behind what is held; null when that is all. */
-  public Inflow rest() {
-    return rest;
+  public BodyStream remainder() {
+    return remainder;
   }
 
-  /** The length of all of it in bytes, or {@link #UNKNOWN}. */
-  public long wholeLength() {
-    return rest == null ? length() : wholeLength;
+  /** The length of all of it in bytes, or {@link #UNKNOWN_LENGTH}. */
+  public long totalLength() {
+    return remainder == null ? bufferedLength() : totalLength;
   }
 
   /** Whether all of it can be written once more: it is held, or no rest has gone anywhere yet. */
   public boolean isRepeatable() {
-    return rest == null || !rest.isAttached();
+    return remainder == null || !remainder.isAttached();
   }
 
   /** What is held has been written, and will not be again. */
-  public void letGoOfHeld() {
+  public void releaseBuffered() {
     full.clear();
     last = new byte[0];
     lastLength = 0;
@@ -74,13 +74,13 @@
 
   /** Nobody wants it: the rest, if there is one, need not come. */
   public void abandon() {
-    if (rest != null) {
-      rest.abandon();
+    if (remainder != null) {
+      remainder.abandon();
     }
   }
 
   /** What is held, in bytes. */
-  public long length() {
+  public long bufferedLength() {
     return (long) full.size() * CHUNK_BYTES + lastLength;
   }
 
--- a/src/main/java/hazelspoke/core/Inflow.java
+++ b/src/main/java/hazelspoke/core/BodyStream.java
@@ -10,34 +10,35 @@
  *
  * <p>A source calls {@link #offer}, and then {@link #end} or {@link #fail}, once; what it offers
  * after a sink has {@link #abandon abandoned} it is dropped. A sink attaches once, is given all in
- * order and exactly one of {@link Sink#ended} and {@link Sink#broken}, unless it abandons.
+ * order and exactly one of {@link Sink#onComplete} and {@link Sink#onTruncated}, unless it
+ * abandons.
  */
-public final class Inflow {
+public final class BodyStream {
   /** What may wait before the source is asked to pause; its last read comes on top. */
-  static final int MOST_WAITING_BYTES = 16_384;
+  static final int MAX_PENDING_BYTES = 16_384;
 
   /** Who reads the bytes. */
   public interface Source {
     /** Whether to read on. Repeating what holds already does nothing. */
-    void flowing(boolean on);
+    void setReading(boolean on);
 
     /** A sink has attached: what was held ahead of this is written and needed no more. */
-    default void attached() {}
+    default void onAttached() {}
 
     /** Nobody wants the rest any more. */
-    void abandoned();
+    void onAbandoned();
   }
 
   /** Who writes the bytes on. */
   public interface Sink {
     /** Takes bytes, which are its own from now on; false asks for no more until a pull. */
-    boolean take(byte[] bytes);
+    boolean write(byte[] bytes);
 
     /** All has come. */
-    void ended();
+    void onComplete();
 
     /** The rest will not come. */
-    void broken();
+    void onTruncated();
   }
 
   private final Source source;
@@ -50,7 +51,7 @@
   private boolean over;
 
   /** One from this source, whose reading goes on until it is told otherwise. */
-  public Inflow(Source source) {
+  public BodyStream(Source source) {
     this.source = source;
   }
 
@@ -67,8 +68,8 @@
     waiting.add(bytes);
     waitingBytes += bytes.length;
     hand();
-    if (waitingBytes > MOST_WAITING_BYTES) {
-      source.flowing(false);
+    if (waitingBytes > MAX_PENDING_BYTES) {
+      source.setReading(false);
     }
   }
 
@@ -98,7 +99,7 @@
       throw new IllegalStateException("this has gone elsewhere already");
     }
     sink = first;
-    source.attached();
+    source.onAttached();
     pull();
   }
 
@@ -106,8 +107,8 @@
   public void pull() {
     ready = true;
     hand();
-    if (!over && !ended && waitingBytes <= MOST_WAITING_BYTES) {
-      source.flowing(true);
+    if (!over && !ended && waitingBytes <= MAX_PENDING_BYTES) {
+      source.setReading(true);
     }
   }
 
@@ -117,7 +118,7 @@
       over = true;
       waiting.clear();
       waitingBytes = 0;
-      source.abandoned();
+      source.onAbandoned();
     }
   }
 
@@ -128,17 +129,17 @@
     while (ready && !waiting.isEmpty()) {
       byte[] next = waiting.poll();
       waitingBytes -= next.length;
-      ready = sink.take(next);
+      ready = sink.write(next);
     }
     if (over) {
       return;
     }
     if (failed) {
       over = true;
-      sink.broken();
+      sink.onTruncated();
     } else if (ended && waiting.isEmpty()) {
       over = true;
-      sink.ended();
+      sink.onComplete();
     }
   }
 }
--- a/src/main/java/hazelspoke/core/ByteBudget.java
+++ b/src/main/java/hazelspoke/core/ByteBudget.java
@@ -25,7 +25,7 @@
   }
 
   /** Whether less than half of it is used. */
-  public boolean isRoomy() {
+  public boolean hasHeadroom() {
     return usedBytes < generalBytes / 2;
   }
 
--- a/src/main/java/hazelspoke/core/ClassBook.java
+++ b/src/main/java/hazelspoke/core/ClassRegistry.java
@@ -12,7 +12,7 @@
  * in another form from now on, can be asked for as before until clients have heard of it.
  * Immutable; reads no clock.
  */
-public final class ClassBook {
+public final class ClassRegistry {
   /** Places are given away anew beyond so many, those first that were left longest ago. */
   static final int MOST_PLACES = 64;
 
@@ -26,7 +26,7 @@
 
   private final List<Entry> entries;
 
-  private ClassBook(List<Entry> entries) {
+  private ClassRegistry(List<Entry> entries) {
     this.entries = List.copyOf(entries);
   }
 
@@ -35,8 +35,8 @@
    *
    * @throws IllegalArgumentException if a name is missing or stands there twice
    */
-  public static ClassBook of(List<String> names, List<RequestClass> types) {
-    return new ClassBook(List.of()).reloaded(names, types, 0);
+  public static ClassRegistry of(List<String> names, List<RequestClass> types) {
+    return new ClassRegistry(List.of()).reloaded(names, types, 0);
   }
 
   /**
@@ -45,7 +45,7 @@
    * @throws IllegalArgumentException if a name is missing or stands there twice, or there are too
    *     many classes, with those counted that were dropped a moment ago
    */
-  public ClassBook reloaded(List<String> names, List<RequestClass> types, double now) {
+  public ClassRegistry reloaded(List<String> names, List<RequestClass> types, double now) {
     if (names.contains("") || new HashSet<>(names).size() < names.size()) {
       throw new IllegalArgumentException("every class needs a name of its own: " + names);
     }
@@ -65,7 +65,7 @@
         put(next, new Entry(name, types.get(i), FOR_GOOD), now);
       }
     }
-    return new ClassBook(next);
+    return new ClassRegistry(next);
   }
 
   private static void put(List<Entry> entries, Entry entry, double now) {
--- a/src/main/java/hazelspoke/core/CoreServices.java
+++ b/src/main/java/hazelspoke/core/CoreServices.java
@@ -16,7 +16,7 @@
 record CoreServices(
     EventLoop loop,
     Clock clock,
-    Hosts hosts,
+    HostTransport hosts,
     Timers timers,
     LoopLag lag,
     Meter meter,
--- a/src/main/java/hazelspoke/core/Dispatcher.java
+++ b/src/main/java/hazelspoke/core/Dispatcher.java
@@ -23,9 +23,9 @@
  * Every request in hand: tells the module what happens to it and does what the module says, and
  * sees to it that each gets exactly one final answer, whatever goes wrong.
  */
-public final class Dispatcher implements Actions, Intake, Attempt.Listener {
+public final class Dispatcher implements Actions, RequestHandler, Attempt.Listener {
   /** A request still unanswered this long after its deadline is failed here: a bug, not a rule. */
-  static final double OVERDUE_MS = 15;
+  static final double OVERDUE_GRACE_MS = 15;
 
   private final EventLoop loop;
   private final Clock clock;
@@ -33,7 +33,7 @@
   private Settings settings;
   private final Names names;
   private final int openCap;
-  private final Hosts hosts;
+  private final HostTransport hosts;
   private final Meter meter;
   private final LoopLag lag;
   private final Timers timers;
@@ -61,7 +61,7 @@
       int openCap,
       Clock clock,
       Log log,
-      Hosts hosts,
+      HostTransport hosts,
       Meter meter) {
     this.loop = loop;
     this.clock = clock;
@@ -116,11 +116,11 @@
    * This process ends: whatever is in hand and whatever still comes has to be answered by then, and
    * no host is told that it has longer.
    */
-  public void endBy(double byMs) {
+  public void setShutdownDeadline(double byMs) {
     endsBy = byMs;
     for (Exchange x : List.copyOf(exchanges.values())) {
       if (!x.ended && byMs < x.deadline) {
-        x.endBy(byMs);
+        x.setShutdownDeadline(byMs);
         limit(x);
       }
     }
@@ -130,7 +130,7 @@
   private void limit(Exchange x) {
     double now = clock.nowMs();
     timers.remove(x.overdue);
-    timers.add(x.overdue, x.deadline + OVERDUE_MS - now);
+    timers.add(x.overdue, x.deadline + OVERDUE_GRACE_MS - now);
     for (Attempt attempt : x.attempts) {
       attempt.limit(x.patienceMs(now));
     }
@@ -161,7 +161,7 @@
       HostEntry entry = host.entry();
       entries.add(entry);
       if (entry.availability() == Availability.GONE) {
-        hosts.forget(entry.host());
+        hosts.remove(entry.host());
       } else if (host.address() != null) {
         HostEntry displaced = hosts.setAddress(entry, host.address());
         if (displaced != null) {
@@ -172,7 +172,7 @@
     // Its address has another host now, whatever the list says of it yet.
     gone.forEach(entry -> entries.add(entry.as(Availability.GONE)));
     if (kind == MembersUpdate.Kind.FULL) {
-      hosts.keepOnly(entries.stream().map(HostEntry::host).collect(Collectors.toSet()));
+      hosts.retainOnly(entries.stream().map(HostEntry::host).collect(Collectors.toSet()));
     }
     MembersUpdate news = new MembersUpdate(kind, update.version(), entries);
     decide(null, () -> balancer.onMembers(clock.nowMs(), news));
@@ -229,9 +229,9 @@
     answerOverdue();
     double now = clock.nowMs();
     x.lostBefore = lag.lostMs();
-    RequestInfo info = x.taken(Long.toString(taken++), now, lag.waitedMs(), endsBy);
+    RequestInfo info = x.accept(Long.toString(taken++), now, lag.waitedMs(), endsBy);
     owed++;
-    meter.taken();
+    meter.onAccepted();
     if (owed > openCap) {
       answer(x, Answer.refused(0));
       return;
@@ -240,7 +240,7 @@
     open.add(x.request().txn());
     x.overdue = new Overdue(x);
     if (x.deadline < Double.POSITIVE_INFINITY) {
-      timers.add(x.overdue, x.deadline + OVERDUE_MS - now);
+      timers.add(x.overdue, x.deadline + OVERDUE_GRACE_MS - now);
     }
     decide(x, () -> balancer.onRequest(clock.nowMs(), info));
   }
@@ -265,7 +265,7 @@
     }
     List<Double> report =
         settings.reportMode() == Settings.ReportMode.WITH_ANSWERS
-            ? names.report(loadReport)
+            ? names.parseReport(loadReport)
             : List.of();
     double elapsedMs = attempt.elapsedMs();
     double ownMs = attempt.ownMs();
@@ -296,42 +296,42 @@
   }
 
   @Override
-  public void onAnswerLeft(Exchange x) {
+  public void onAnswerWritten(Exchange x) {
     double lateMs = clock.nowMs() - x.deadline;
     if (lateMs > LateAnswer.SLACK_MS) {
       double lostMs = lag.lostMs() - x.lostBefore;
       LateAnswer why = LateAnswer.of(lateMs, x.decidedAt - x.deadline, lostMs, x.leftOpen);
-      meter.late(why);
+      meter.onLateAnswer(why);
       log.line(
           "the answer to request %s left %.0f ms after its deadline, %s; lost here %.0f ms, "
-                  .formatted(x.id, lateMs, why.words(), lostMs)
+                  .formatted(x.id, lateMs, why.description(), lostMs)
               + "the longest turn ever %.0f ms, attempts %d"
                   .formatted(lag.longestMs(), x.attempts.size()));
     }
   }
 
   @Override
-  public void onWhole(Exchange x) {
+  public void onRequestComplete(Exchange x) {
     if (x.ended) {
       return;
     }
-    x.whole(clock.nowMs(), lag.waitedMs(), endsBy);
+    x.complete(clock.nowMs(), lag.waitedMs(), endsBy);
     limit(x);
   }
 
   /** What is kept of requests: those in hand, attempts still out, and what is to become due. */
-  int held() {
+  int retainedCount() {
     return exchanges.size() + open.size() + timers.size();
   }
 
   @Override
-  public void onClientGone(Exchange x) {
+  public void onClientDisconnected(Exchange x) {
     if (x.ended) {
       return;
     }
     boolean sent = x.attempts.stream().anyMatch(Attempt::wasSent);
     end(x);
-    meter.gone(sent);
+    meter.onClientDisconnected(sent);
     decide(x, () -> balancer.onClientGone(clock.nowMs(), x.id));
   }
 
@@ -357,7 +357,7 @@
       Client client = x.client();
       int requestClass = x.request().requestClass();
       end(x);
-      meter.answered(requestClass, answer.outcome());
+      meter.onAnswered(requestClass, answer.outcome());
       client.answer(answer);
     }
   }
@@ -433,7 +433,9 @@
 
   private void onProbeEnded(LoadProbe probe, Result result, String loadReport) {
     List<Double> report =
-        settings.reportMode() == Settings.ReportMode.NONE ? List.of() : names.report(loadReport);
+        settings.reportMode() == Settings.ReportMode.NONE
+            ? List.of()
+            : names.parseReport(loadReport);
     ProbeResult news = new ProbeResult(probe.host(), result, probe.elapsedMs(), report);
     decide(null, () -> balancer.onProbeResult(clock.nowMs(), news));
   }
--- a/src/main/java/hazelspoke/core/Exchange.java
+++ b/src/main/java/hazelspoke/core/Exchange.java
@@ -92,12 +92,12 @@
    *
    * @param endsBy when this process has to have answered all; infinite as long as it goes on
    */
-  void whole(double now, double waitedMs, double endsBy) {
+  void complete(double now, double waitedMs, double endsBy) {
     due(now - waitedMs + request.remainingMs(), endsBy);
   }
 
   /** This process ends: it has to be answered by then, however long its client would wait. */
-  void endBy(double endsBy) {
+  void setShutdownDeadline(double endsBy) {
     if (endsBy < deadline) {
       due(endsBy, endsBy);
     }
@@ -118,10 +118,10 @@
   }
 
   /** The request is whole: its time has been running since it lay ready to be read. */
-  RequestInfo taken(String ownId, double now, double waitedMs, double endsBy) {
+  RequestInfo accept(String ownId, double now, double waitedMs, double endsBy) {
     id = ownId;
     double ifWholeNow = Math.min(endsBy, now - waitedMs + request.remainingMs());
-    due(request.body().rest() == null ? ifWholeNow : Double.POSITIVE_INFINITY, endsBy);
+    due(request.body().remainder() == null ? ifWholeNow : Double.POSITIVE_INFINITY, endsBy);
     return new RequestInfo(
         id,
         request.requestClass(),
--- a/src/main/java/hazelspoke/core/HostCall.java
+++ b/src/main/java/hazelspoke/core/HostCall.java
@@ -4,7 +4,7 @@
 
 /**
  * One attempt of a request, or a probe, as a back carries it out: it is told once how it ended, by
- * {@link #answered} or {@link #ended}, and nothing after its ticket was given up.
+ * {@link #onAnswer} or {@link #onEnd}, and nothing after its ticket was given up.
  */
 public interface HostCall {
   /** What is asked, for as long as it may have to be written; null asks for the host's load. */
@@ -14,16 +14,16 @@
    * Whether its first byte may be written now; no means it never ran. Asked right before that, and
    * may give the call's ticket up.
    */
-  boolean mayBegin();
+  boolean maySendFirstByte();
 
   /** The same of its last byte, where that is kept back. */
-  boolean mayFinish();
+  boolean maySendLastByte();
 
   /** How long an answer is awaited from now on, in milliseconds; asked when it is written. */
   double remainingMs();
 
   /** Its last byte was handed to the socket: it may run from now on. */
-  void sent();
+  void onSent();
 
   /**
    * The call ended with a whole answer.
@@ -31,12 +31,12 @@
    * @param loadReport the host's report of its load as text, empty when none came
    * @param share counts the body; it is the receiver's from now on
    */
-  void answered(Metadata metadata, String loadReport, Body body, ByteBudget.Share share);
+  void onAnswer(Metadata metadata, String loadReport, Body body, ByteBudget.Share share);
 
   /**
    * The call ended otherwise.
    *
    * @param loadReport as above
    */
-  void ended(Result result, String loadReport);
+  void onEnd(Result result, String loadReport);
 }
--- a/src/main/java/hazelspoke/core/Hosts.java
+++ b/src/main/java/hazelspoke/core/HostTransport.java
@@ -5,21 +5,21 @@
 import ternscale.api.HostEntry;
 
 /** The ways to the hosts: a back. */
-public interface Hosts {
+public interface HostTransport {
   /** One call under way. */
-  interface Ticket {
+  interface CallHandle {
     /** Whether any of the call was handed to the socket: for a host that drains it counts so. */
-    boolean isBegun();
+    boolean isFirstByteSent();
 
     /** Whether the host may have begun the call: its last byte was handed to the socket. */
-    boolean isSent();
+    boolean isLastByteSent();
 
     /** Stops waiting; the call is told nothing more. Harmless for one that has ended. */
-    void giveUp();
+    void cancel();
   }
 
   /** Starts a call, which is told how it ended on a later turn of the loop. */
-  Ticket start(String host, HostCall call);
+  CallHandle start(String host, HostCall call);
 
   /** Closes the connections to a host that rest. */
   void closeIdle(String host);
@@ -33,8 +33,8 @@
   HostEntry setAddress(HostEntry host, InetSocketAddress address);
 
   /** Lets go of a host that is listed no more; calls on their way to it go on. */
-  void forget(String host);
+  void remove(String host);
 
   /** Lets go of all but these. */
-  void keepOnly(Set<String> hosts);
+  void retainOnly(Set<String> hosts);
 }
--- a/src/main/java/hazelspoke/core/LateAnswer.java
+++ b/src/main/java/hazelspoke/core/LateAnswer.java
@@ -24,15 +24,15 @@
   /** So much of a delay must have been lost by the loop for that to be its reason. */
   private static final double MOST_OF_IT = 0.5;
 
-  private final String words;
+  private final String description;
 
   LateAnswer(String words) {
-    this.words = words;
+    this.description = words;
   }
 
   /** The reason, as words that end a sentence. */
-  public String words() {
-    return words;
+  public String description() {
+    return description;
   }
 
   /**
--- a/src/main/java/hazelspoke/core/LoadProbe.java
+++ b/src/main/java/hazelspoke/core/LoadProbe.java
@@ -20,7 +20,7 @@
   private final Listener listener;
   private final String host;
   private final double startedAt;
-  private Hosts.Ticket ticket;
+  private HostTransport.CallHandle ticket;
   private boolean over;
 
   LoadProbe(CoreServices services, Listener listener, String host) {
@@ -46,7 +46,7 @@
 
   @Override
   void due() {
-    ticket.giveUp();
+    ticket.cancel();
     end(Result.TIMEOUT, "");
   }
 
@@ -56,12 +56,12 @@
   }
 
   @Override
-  public boolean mayBegin() {
+  public boolean maySendFirstByte() {
     return true;
   }
 
   @Override
-  public boolean mayFinish() {
+  public boolean maySendLastByte() {
     return true;
   }
 
@@ -71,17 +71,17 @@
   }
 
   @Override
-  public void sent() {}
+  public void onSent() {}
 
   @Override
-  public void answered(Metadata metadata, String loadReport, Body answer, ByteBudget.Share share) {
+  public void onAnswer(Metadata metadata, String loadReport, Body answer, ByteBudget.Share share) {
     share.release();
     answer.abandon();
     end(Result.OK, loadReport);
   }
 
   @Override
-  public void ended(Result result, String loadReport) {
+  public void onEnd(Result result, String loadReport) {
     end(result, "");
   }
 
--- a/src/main/java/hazelspoke/core/Meter.java
+++ b/src/main/java/hazelspoke/core/Meter.java
@@ -9,39 +9,39 @@
   Meter NONE =
       new Meter() {
         @Override
-        public void taken() {}
+        public void onAccepted() {}
 
         @Override
-        public void answered(int requestClass, Answer.Outcome outcome) {}
+        public void onAnswered(int requestClass, Answer.Outcome outcome) {}
 
         @Override
-        public void gone(boolean sent) {}
+        public void onClientDisconnected(boolean sent) {}
 
         @Override
-        public void sent() {}
+        public void onSent() {}
 
         @Override
-        public void late(LateAnswer why) {}
+        public void onLateAnswer(LateAnswer why) {}
 
         @Override
-        public void violated(Violations.Kind kind) {}
+        public void onViolation(Violations.Kind kind) {}
       };
 
   /** A request was taken: it is owed an answer from now on. */
-  void taken();
+  void onAccepted();
 
   /** A request was given its answer. */
-  void answered(int requestClass, Answer.Outcome outcome);
+  void onAnswered(int requestClass, Answer.Outcome outcome);
 
   /** The client of a request left before it had its answer; whether any host had got it. */
-  void gone(boolean sent);
+  void onClientDisconnected(boolean sent);
 
   /** An attempt was written whole to a host. */
-  void sent();
+  void onSent();
 
   /** An answer left after its client had stopped waiting. */
-  void late(LateAnswer why);
+  void onLateAnswer(LateAnswer why);
 
   /** Something came about that never must. */
-  void violated(Violations.Kind kind);
+  void onViolation(Violations.Kind kind);
 }
--- a/src/main/java/hazelspoke/core/Names.java
+++ b/src/main/java/hazelspoke/core/Names.java
@@ -11,13 +11,13 @@
     List<String> kinds,
     List<String> reportColumns) {
   /** A tenant's place; an unknown one comes after all others, where no quota is looked for. */
-  public int tenant(String name) {
+  public int tenantIndex(String name) {
     int place = name == null ? 0 : tenants.indexOf(name);
     return place < 0 ? tenants.size() : place;
   }
 
   /** A kind's place; all unknown ones share the place after the known. */
-  public int kind(String name) {
+  public int kindIndex(String name) {
     int place = kinds.indexOf(name);
     return place < 0 ? kinds.size() : place;
   }
@@ -26,7 +26,7 @@
    * A load report in the order of the settings, from text such as {@code TEXT inflight=7, queue=2};
    * empty when it does not hold every column.
    */
-  List<Double> report(String text) {
+  List<Double> parseReport(String text) {
     List<Double> out = new ArrayList<>();
     for (String column : reportColumns) {
       Double value = valueOf(column, text);
--- a/src/main/java/hazelspoke/core/Violations.java
+++ b/src/main/java/hazelspoke/core/Violations.java
@@ -44,7 +44,7 @@
    * @param request the gateway's or the client's id of it, or whose connection it is
    */
   public void count(Kind kind, String request) {
-    meter.violated(kind);
+    meter.onViolation(kind);
     log.line("violation: request " + request + ": " + kind.words);
   }
 }
--- a/src/main/java/hazelspoke/discovery/DiscoveryClient.java
+++ b/src/main/java/hazelspoke/discovery/DiscoveryClient.java
@@ -129,9 +129,9 @@
     bootstrap =
         new Bootstrap()
             .group(loop)
-            .channel(transport.client())
+            .channel(transport.clientChannelType())
             .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.receiveAllocator())
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
     address = start.address();
     pushed = start.pushed();
@@ -265,7 +265,7 @@
                       ch.pipeline().addLast(new HttpClientCodec(), Call.this);
                     }
                   })
-              .connect(transport.calling().apply(address));
+              .connect(transport.connectAddress().apply(address));
       channel = connecting.channel();
       if (!pushed || !isWatch) {
         check =
--- a/src/main/java/hazelspoke/discovery/HostListJson.java
+++ b/src/main/java/hazelspoke/discovery/HostListJson.java
@@ -52,7 +52,7 @@
         new HostEntry(
             name,
             weight,
-            names.kind(e.get("type").text("")),
+            names.kindIndex(e.get("type").text("")),
             zone,
             e.get("group").integer(0),
             availability,
--- a/src/main/java/hazelspoke/front/http/ClientConnection.java
+++ b/src/main/java/hazelspoke/front/http/ClientConnection.java
@@ -2,16 +2,16 @@
 
 import hazelspoke.core.Answer;
 import hazelspoke.core.Body;
+import hazelspoke.core.BodyStream;
 import hazelspoke.core.ByteBudget;
 import hazelspoke.core.Client;
 import hazelspoke.core.Exchange;
-import hazelspoke.core.Inflow;
 import hazelspoke.core.Violations;
 import hazelspoke.http.BodyWriter;
+import hazelspoke.http.ChannelBodySource;
 import hazelspoke.http.HeadWriter;
 import hazelspoke.http.Headers;
-import hazelspoke.http.ReadingSource;
-import hazelspoke.net.Turns;
+import hazelspoke.net.SocketPolling;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -103,7 +103,7 @@
   /** Of the request that is being read: its bytes so far, and when the last of them came. */
   private long bodyBytes;
 
-  /** What its head says that it will have, or {@link Body#UNKNOWN}. */
+  /** What its head says that it will have, or {@link Body#UNKNOWN_LENGTH}. */
   private long declaredBytes;
 
   private double heardAt;
@@ -114,7 +114,7 @@
   private long countedBytes;
 
   /** Where the rest of a request goes that is handed over already; null with any other. */
-  private Inflow passing;
+  private BodyStream passing;
 
   /** How far an answer had come when that was last looked at, and since when it stands there. */
   private long seenGone;
@@ -163,7 +163,7 @@
 
   /** Whether a request has begun here whose answer waits for this side, not for its client. */
   boolean owesAnswer() {
-    boolean unread = state == State.ANSWERING && writer != null && writer.awaitsPeer();
+    boolean unread = state == State.ANSWERING && writer != null && writer.isAwaitingPeer();
     return state.isOwing() && !unread;
   }
 
@@ -176,7 +176,7 @@
 
   @Override
   public void readPending() {
-    Turns.readPending(channel);
+    SocketPolling.readPending(channel);
     if (!channel.isActive()) {
       // The channel tells of its end on a later turn, which may be too late.
       ended();
@@ -247,7 +247,7 @@
   private void discard(Object message) {
     lingerBytes += size(message);
     ReferenceCountUtil.release(message);
-    if (lingerBytes > (unfinished ? Body.MOST_BYTES : MOST_LINGER_BYTES)) {
+    if (lingerBytes > (unfinished ? Body.MAX_BYTES : MOST_LINGER_BYTES)) {
       channel.config().setAutoRead(false);
     }
   }
@@ -332,8 +332,8 @@
 
   /** Whether the client has not taken anything of its answer for so long, with some to take. */
   boolean isUnread(double now, double forMs) {
-    long gone = writer == null ? 0 : writer.piecesGone();
-    if (gone != seenGone || (writer != null && !writer.awaitsPeer())) {
+    long gone = writer == null ? 0 : writer.piecesWritten();
+    if (gone != seenGone || (writer != null && !writer.isAwaitingPeer())) {
       seenGone = gone;
       seenGoneAt = now;
     }
@@ -351,16 +351,17 @@
       return;
     }
     exchange = server.exchange(request, this);
-    declaredBytes = HttpUtil.getContentLength(request, Body.UNKNOWN);
+    declaredBytes = HttpUtil.getContentLength(request, Body.UNKNOWN_LENGTH);
     if (HttpUtil.is100ContinueExpected(request)) {
-      channel.writeAndFlush(HeadWriter.answer(channel.alloc(), HttpResponseStatus.CONTINUE).end(0));
+      channel.writeAndFlush(
+          HeadWriter.response(channel.alloc(), HttpResponseStatus.CONTINUE).finish(0));
     }
   }
 
   private void body(HttpContent content) throws BadRequestException {
     int more = content.content().readableBytes();
     bodyBytes += more;
-    if (bodyBytes > Body.MOST_BYTES) {
+    if (bodyBytes > Body.MAX_BYTES) {
       throw new BadRequestException(
           HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     }
@@ -373,8 +374,9 @@
       body.append(content.content());
       boolean room = exchange.share().add(more);
       boolean large =
-          body.length() > Body.WHOLE_REQUEST_BYTES
-              || (body.length() > Body.LEAST_PASSED_ON_BYTES && !server.hasRoomForBodies());
+          body.bufferedLength() > Body.MAX_BUFFERED_REQUEST_BYTES
+              || (body.bufferedLength() > Body.STREAMING_THRESHOLD_BYTES
+                  && !server.hasRoomForBodies());
       if (large && !(content instanceof LastHttpContent)) {
         passOnFrom(body);
         return;
@@ -405,26 +407,26 @@
     checkNotOpen();
     Exchange handed = exchange;
     passing =
-        new Inflow(
-            new ReadingSource(channel) {
+        new BodyStream(
+            new ChannelBodySource(channel) {
               @Override
-              public void attached() {
-                body.letGoOfHeld();
+              public void onAttached() {
+                body.releaseBuffered();
                 handed.share().release();
               }
 
               @Override
-              public void abandoned() {
+              public void onAbandoned() {
                 // The answer is on its way; what still comes is read and dropped behind it.
                 channel.config().setAutoRead(true);
               }
             });
-    body.continueWith(passing, declaredBytes);
+    body.setRemainder(passing, declaredBytes);
     server.taken(handed);
   }
 
   private void passOn(HttpContent content) {
-    Inflow to = passing;
+    BodyStream to = passing;
     to.offer(ByteBufUtil.getBytes(content.content()));
     if (content instanceof LastHttpContent) {
       passing = null;
@@ -463,7 +465,9 @@
       case REFUSED -> own(HttpResponseStatus.SERVICE_UNAVAILABLE, answer.retryAfterMs());
       case FAILED ->
           own(
-              answer.late() ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
+              answer.deadlineExceeded()
+                  ? HttpResponseStatus.GATEWAY_TIMEOUT
+                  : HttpResponseStatus.BAD_GATEWAY,
               0);
     }
   }
@@ -472,7 +476,7 @@
   private void served(Answer answer) {
     answerShare = answer.share();
     Body body = answer.body();
-    boolean untold = body.wholeLength() == Body.UNKNOWN;
+    boolean untold = body.totalLength() == Body.UNKNOWN_LENGTH;
     // A client of the old protocol knows no chunks: its answer ends with the connection.
     keepAlive &= !untold || !version.equals(HttpVersion.HTTP_1_0);
     write(head(HttpResponseStatus.OK, body).add(answer.metadata()), body);
@@ -489,7 +493,7 @@
     HeadWriter head =
         head(status, body).add(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
     if (retryAfterMs > 0) {
-      head.add(HttpHeaderNames.RETRY_AFTER, Headers.seconds(retryAfterMs));
+      head.add(HttpHeaderNames.RETRY_AFTER, Headers.formatSeconds(retryAfterMs));
     }
     write(head, body);
   }
@@ -499,7 +503,8 @@
     exchange = null;
     passing = null;
     enter(State.ANSWERING);
-    boolean chunked = body.wholeLength() == Body.UNKNOWN && !version.equals(HttpVersion.HTTP_1_0);
+    boolean chunked =
+        body.totalLength() == Body.UNKNOWN_LENGTH && !version.equals(HttpVersion.HTTP_1_0);
     writer = new BodyWriter(channel, body, chunked, this::answerWritten, this::close);
     writer.start(head);
   }
@@ -512,14 +517,14 @@
       unfinished = passing != null;
     }
     keepAlive &= !server.isSendingAway();
-    HeadWriter head = HeadWriter.answer(channel.alloc(), status);
+    HeadWriter head = HeadWriter.response(channel.alloc(), status);
     if (!keepAlive) {
       head.add(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     } else if (version.equals(HttpVersion.HTTP_1_0)) {
       head.add(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
     }
-    if (body.wholeLength() != Body.UNKNOWN) {
-      head.add(HttpHeaderNames.CONTENT_LENGTH, Long.toString(body.wholeLength()));
+    if (body.totalLength() != Body.UNKNOWN_LENGTH) {
+      head.add(HttpHeaderNames.CONTENT_LENGTH, Long.toString(body.totalLength()));
     } else if (!version.equals(HttpVersion.HTTP_1_0)) {
       head.add(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     }
--- a/src/main/java/hazelspoke/front/http/ClientServer.java
+++ b/src/main/java/hazelspoke/front/http/ClientServer.java
@@ -1,20 +1,20 @@
 package hazelspoke.front.http;
 
 import hazelspoke.core.ByteBudget;
-import hazelspoke.core.ClassBook;
+import hazelspoke.core.ClassRegistry;
 import hazelspoke.core.Clock;
 import hazelspoke.core.Exchange;
-import hazelspoke.core.Intake;
 import hazelspoke.core.Log;
 import hazelspoke.core.Names;
 import hazelspoke.core.Request;
+import hazelspoke.core.RequestHandler;
 import hazelspoke.core.Violations;
 import hazelspoke.front.http.ClientConnection.State;
 import hazelspoke.http.HttpLimits;
 import hazelspoke.net.Buffers;
 import hazelspoke.net.Listener;
+import hazelspoke.net.SocketPolling;
 import hazelspoke.net.Transport;
-import hazelspoke.net.Turns;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -79,8 +79,8 @@
   private final EventLoop loop;
   private final Clock clock;
   private final Names names;
-  private ClassBook classes;
-  private final Intake intake;
+  private ClassRegistry classes;
+  private final RequestHandler intake;
   private final ByteBudget bodyBudget;
   private final Log log;
   private final Violations violations;
@@ -106,8 +106,8 @@
       EventLoop loop,
       Clock clock,
       Names names,
-      ClassBook classes,
-      Intake intake,
+      ClassRegistry classes,
+      RequestHandler intake,
       ByteBudget bodyBudget,
       Log log,
       Violations violations,
@@ -126,7 +126,10 @@
     }
     // After reading: who has spoken while this process stood still is not taken for silent.
     loop.scheduleWithFixedDelay(
-        () -> Turns.afterReading(loop, this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        () -> SocketPolling.afterPoll(loop, this::sweep),
+        SWEEP_MS,
+        SWEEP_MS,
+        TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -138,11 +141,11 @@
     ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(loop)
-            .channel(transport.server())
+            .channel(transport.serverChannelType())
             .option(ChannelOption.SO_BACKLOG, BACKLOG)
             .handler(new AcceptFailures())
             .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.receiveAllocator())
             .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
             .childHandler(
                 new ChannelInitializer<Channel>() {
@@ -154,7 +157,7 @@
     if (shared) {
       bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
-    ChannelFuture binding = bootstrap.bind(transport.listening().apply(address));
+    ChannelFuture binding = bootstrap.bind(transport.bindAddress().apply(address));
     listener = binding.channel();
     ready = true;
     return binding;
@@ -192,7 +195,8 @@
 
   private void makeRoomAfter(long delayMs) {
     makingRoom = true;
-    loop.schedule(() -> Turns.afterReading(loop, this::makeRoom), delayMs, TimeUnit.MILLISECONDS);
+    loop.schedule(
+        () -> SocketPolling.afterPoll(loop, this::makeRoom), delayMs, TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -283,7 +287,7 @@
   }
 
   /** What may be asked for from now on. */
-  public void reload(ClassBook next) {
+  public void reload(ClassRegistry next) {
     classes = next;
   }
 
@@ -326,7 +330,7 @@
 
   /** Whether bodies may be held until they are whole, up to the larger of the bounds. */
   boolean hasRoomForBodies() {
-    return bodyBudget.isRoomy();
+    return bodyBudget.hasHeadroom();
   }
 
   /** Whether another request with the same id is open; that one goes on. */
@@ -339,16 +343,16 @@
   }
 
   public void whole(Exchange exchange) {
-    intake.onWhole(exchange);
+    intake.onRequestComplete(exchange);
   }
 
   public void clientGone(Exchange exchange) {
-    intake.onClientGone(exchange);
+    intake.onClientDisconnected(exchange);
   }
 
   /** The answer to a request that was taken has left, or its connection has ended before that. */
   void answerLeft(Exchange exchange) {
-    intake.onAnswerLeft(exchange);
+    intake.onAnswerWritten(exchange);
   }
 
   /**
@@ -385,7 +389,7 @@
       return true;
     }
     if (listener instanceof Listener own) {
-      return own.closeEmpty(mostConnections - open);
+      return own.acceptPendingAndClose(mostConnections - open);
     }
     listener.close();
     return true;
--- a/src/main/java/hazelspoke/front/http/RequestHead.java
+++ b/src/main/java/hazelspoke/front/http/RequestHead.java
@@ -1,7 +1,7 @@
 package hazelspoke.front.http;
 
 import hazelspoke.core.Body;
-import hazelspoke.core.ClassBook;
+import hazelspoke.core.ClassRegistry;
 import hazelspoke.core.Metadata;
 import hazelspoke.core.Names;
 import hazelspoke.core.Request;
@@ -53,7 +53,7 @@
   }
 
   /** Reads a head; {@code classes} tell what may be asked for now and in which form. */
-  static Request read(HttpRequest request, Names names, ClassBook classes, double now)
+  static Request read(HttpRequest request, Names names, ClassRegistry classes, double now)
       throws BadRequestException {
     if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)
         && !request.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
@@ -85,8 +85,8 @@
         }
       }
       case 8 -> {
-        if (Headers.is(name, Headers.KEY)) {
-          entity = only(Headers.KEY, entity, value);
+        if (Headers.is(name, Headers.ENTITY)) {
+          entity = only(Headers.ENTITY, entity, value);
         } else if (Headers.is(name, Headers.RESENT) && resent == null) {
           resent = value.toString();
         }
@@ -126,7 +126,8 @@
     return value.toString();
   }
 
-  private Request toRequest(Names names, ClassBook classes, double now) throws BadRequestException {
+  private Request toRequest(Names names, ClassRegistry classes, double now)
+      throws BadRequestException {
     int requestClass = className == null ? -1 : classes.find(className, form(), now);
     if (requestClass < 0) {
       throw bad(HttpResponseStatus.NOT_FOUND, Headers.CLASS + " names no class");
@@ -143,7 +144,7 @@
         txn,
         requestClass,
         type.effect(),
-        names.tenant(tenant),
+        names.tenantIndex(tenant),
         Math.min(limitMs, MS_PER_SECOND * seconds),
         number(Headers.COST_HINT, costHint, 0) / US_PER_MS,
         entity,
@@ -185,7 +186,7 @@
       throw bad(
           HttpResponseStatus.BAD_REQUEST, Headers.IDEMPOTENCY_KEY + " does not fit the class");
     }
-    checkLength(request, effect == Effect.REPEATABLE ? 0 : Body.MOST_BYTES);
+    checkLength(request, effect == Effect.REPEATABLE ? 0 : Body.MAX_BYTES);
   }
 
   /** Refuses a body that is too long by its head alone. */
--- a/src/main/java/hazelspoke/http/BodyWriter.java
+++ b/src/main/java/hazelspoke/http/BodyWriter.java
@@ -1,7 +1,7 @@
 package hazelspoke.http;
 
 import hazelspoke.core.Body;
-import hazelspoke.core.Inflow;
+import hazelspoke.core.BodyStream;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -14,7 +14,7 @@
  * takes them, and the rest of a large one as it comes. What waits at a socket is copied outside the
  * heap, and many slow peers at once must not fill that memory.
  */
-public final class BodyWriter implements Inflow.Sink {
+public final class BodyWriter implements BodyStream.Sink {
   private static final int PIECE_BYTES = 16_384;
   private static final byte[] LINE_END = {'\r', '\n'};
   private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -29,7 +29,7 @@
   private boolean done;
   private boolean passing;
   private int piecesOut;
-  private long piecesGone;
+  private long piecesWritten;
 
   /** One for a body of which all is held; otherwise as below. */
   public BodyWriter(Channel channel, Body body, ChannelFutureListener whenWritten) {
@@ -56,18 +56,18 @@
     this.chunked = chunked;
     this.whenWritten = whenWritten;
     this.whenBroken = whenBroken;
-    held = body.length();
+    held = body.bufferedLength();
   }
 
   /** Begins with this head; the end may be told before this returns. */
   public void start(HeadWriter head) {
-    if (body.rest() == null && !chunked && body.length() <= PIECE_BYTES) {
+    if (body.remainder() == null && !chunked && body.bufferedLength() <= PIECE_BYTES) {
       done = true;
-      ByteBuf whole = head.end((int) body.length());
+      ByteBuf whole = head.finish((int) body.bufferedLength());
       body.copyTo(whole);
       channel.writeAndFlush(whole).addListener(whenWritten);
     } else {
-      channel.write(head.end(0));
+      channel.write(head.finish(0));
       resume();
     }
   }
@@ -77,7 +77,7 @@
     while (!done && offset < held && channel.isWritable()) {
       ByteBuf piece = body.slice(offset, PIECE_BYTES);
       offset += piece.readableBytes();
-      if (offset == held && body.rest() == null && !chunked) {
+      if (offset == held && body.remainder() == null && !chunked) {
         done = true;
         channel.writeAndFlush(piece).addListener(whenWritten);
       } else {
@@ -85,13 +85,13 @@
       }
     }
     if (!done && offset == held) {
-      if (body.rest() == null) {
-        ended();
+      if (body.remainder() == null) {
+        onComplete();
       } else if (!passing) {
         passing = true;
-        body.rest().attach(this);
+        body.remainder().attach(this);
       } else if (channel.isWritable()) {
-        body.rest().pull();
+        body.remainder().pull();
       }
     }
     channel.flush();
@@ -113,35 +113,35 @@
 
   private void pieceGone(Future<? super Void> written) {
     piecesOut--;
-    piecesGone++;
+    piecesWritten++;
   }
 
   /** How many pieces the peer has taken so far: while it stands still the peer does not read. */
-  public long piecesGone() {
-    return piecesGone;
+  public long piecesWritten() {
+    return piecesWritten;
   }
 
   /** Whether something waits for the peer to take it, rather than for its source. */
-  public boolean awaitsPeer() {
+  public boolean isAwaitingPeer() {
     return done || piecesOut > 0;
   }
 
   @Override
-  public boolean take(byte[] bytes) {
+  public boolean write(byte[] bytes) {
     write(Unpooled.wrappedBuffer(bytes));
     channel.flush();
     return channel.isWritable();
   }
 
   @Override
-  public void ended() {
+  public void onComplete() {
     done = true;
     ByteBuf last = chunked ? Unpooled.wrappedBuffer(LAST_CHUNK) : Unpooled.EMPTY_BUFFER;
     channel.writeAndFlush(last).addListener(whenWritten);
   }
 
   @Override
-  public void broken() {
+  public void onTruncated() {
     done = true;
     whenBroken.run();
   }
--- a/src/main/java/hazelspoke/http/HeadWriter.java
+++ b/src/main/java/hazelspoke/http/HeadWriter.java
@@ -39,7 +39,7 @@
   }
 
   /** Begins an answer. */
-  public static HeadWriter answer(ByteBufAllocator allocator, HttpResponseStatus status) {
+  public static HeadWriter response(ByteBufAllocator allocator, HttpResponseStatus status) {
     HeadWriter head = new HeadWriter(allocator);
     head.put(OF_ANSWER).put(status.codeAsText()).put(BLANK);
     head.put(status.reasonPhrase()).put(LINE_END);
@@ -60,7 +60,7 @@
   }
 
   /** Ends it, with room for so many bytes more; whoever takes the bytes releases them. */
-  public ByteBuf end(int room) {
+  public ByteBuf finish(int room) {
     put(LINE_END);
     return allocator.directBuffer(length + room).writeBytes(bytes, 0, length);
   }
--- a/src/main/java/hazelspoke/http/Headers.java
+++ b/src/main/java/hazelspoke/http/Headers.java
@@ -18,11 +18,11 @@
   public static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
   public static final AsciiString CLASS = AsciiString.cached("X-Lane");
   public static final AsciiString TENANT = AsciiString.cached("X-Org");
-  public static final AsciiString KEY = AsciiString.cached("X-Entity");
+  public static final AsciiString ENTITY = AsciiString.cached("X-Entity");
   public static final AsciiString REMAINING = AsciiString.cached("X-Remaining");
   public static final AsciiString RESENT = AsciiString.cached("X-Resent");
   public static final AsciiString COST_HINT = AsciiString.cached("X-Estimate");
-  public static final AsciiString TURNED_AWAY = AsciiString.cached("X-Turned-Away");
+  public static final AsciiString REJECTED = AsciiString.cached("X-Turned-Away");
   public static final AsciiString LOAD_REPORT = AsciiString.cached("X-Pressure");
   private static final AsciiString KEEP_ALIVE = AsciiString.cached("Keep-Alive");
   private static final AsciiString PROXY_CONNECTION = AsciiString.cached("Proxy-Connection");
@@ -92,7 +92,7 @@
    * A time in seconds, to the millisecond below. Every request bears one, and {@link String#format}
    * alone took a fifteenth of the time that a request takes in a gateway just started.
    */
-  public static String seconds(double ms) {
+  public static String formatSeconds(double ms) {
     long whole = (long) ms;
     String thousandths = Long.toString(1_000 + whole % 1_000).substring(1);
     return whole / 1_000 + "." + thousandths;
--- a/src/main/java/hazelspoke/http/HttpLimits.java
+++ b/src/main/java/hazelspoke/http/HttpLimits.java
@@ -16,6 +16,6 @@
     return new HttpDecoderConfig()
         .setMaxInitialLineLength(MOST_LINE_BYTES)
         .setMaxHeaderSize(MOST_HEAD_BYTES)
-        .setMaxChunkSize(Buffers.MOST_READ_BYTES);
+        .setMaxChunkSize(Buffers.MAX_READ_BYTES);
   }
 }
--- a/src/main/java/hazelspoke/net/Buffers.java
+++ b/src/main/java/hazelspoke/net/Buffers.java
@@ -15,7 +15,7 @@
 
   private static final int LEAST_READ_BYTES = 512;
   private static final int FIRST_READ_BYTES = 2_048;
-  public static final int MOST_READ_BYTES = 16_384;
+  public static final int MAX_READ_BYTES = 16_384;
 
   /** Of each size so many are kept at hand, which spares the arena's lock; large ones are not. */
   private static final int SMALL_AT_HAND = 16;
@@ -29,7 +29,7 @@
 
   private Buffers() {}
 
-  public static RecvByteBufAllocator reads() {
-    return new AdaptiveRecvByteBufAllocator(LEAST_READ_BYTES, FIRST_READ_BYTES, MOST_READ_BYTES);
+  public static RecvByteBufAllocator receiveAllocator() {
+    return new AdaptiveRecvByteBufAllocator(LEAST_READ_BYTES, FIRST_READ_BYTES, MAX_READ_BYTES);
   }
 }
--- a/src/main/java/hazelspoke/net/EventLoops.java
+++ b/src/main/java/hazelspoke/net/EventLoops.java
@@ -14,17 +14,17 @@
 
   /** A group of one loop, over the sockets of the JDK. */
   public static EventLoopGroup single() {
-    return new MultiThreadIoEventLoopGroup(1, waiting(NioIoHandler.newFactory()));
+    return new MultiThreadIoEventLoopGroup(1, withoutBusyPolling(NioIoHandler.newFactory()));
   }
 
   /** The same, on a daemon thread of this name. */
   public static EventLoopGroup daemon(String thread) {
     return new MultiThreadIoEventLoopGroup(
-        1, new DefaultThreadFactory(thread, true), waiting(NioIoHandler.newFactory()));
+        1, new DefaultThreadFactory(thread, true), withoutBusyPolling(NioIoHandler.newFactory()));
   }
 
   /** The handlers of a factory, which wait for timers in place of polling. */
-  static IoHandlerFactory waiting(IoHandlerFactory handlers) {
+  static IoHandlerFactory withoutBusyPolling(IoHandlerFactory handlers) {
     return new IoHandlerFactory() {
       @Override
       public IoHandler newHandler(ThreadAwareExecutor executor) {
--- a/src/main/java/hazelspoke/net/Listener.java
+++ b/src/main/java/hazelspoke/net/Listener.java
@@ -17,7 +17,7 @@
    * @param most how many may be taken in
    * @return whether it is closed; otherwise somebody may wait still
    */
-  public boolean closeEmpty(int most) {
+  public boolean acceptPendingAndClose(int most) {
     List<Object> waiting = new ArrayList<>();
     boolean empty = false;
     try {
--- a/src/main/java/hazelspoke/net/Turns.java
+++ b/src/main/java/hazelspoke/net/SocketPolling.java
@@ -8,14 +8,14 @@
 /**
  * The order of things on a loop, whose every turn reads the sockets first and then does its tasks.
  */
-public final class Turns {
+public final class SocketPolling {
   /** A look at the sockets that is older than this is taken again, in milliseconds. */
-  static final long STALE_MS = 50;
+  static final long MAX_POLL_AGE_MS = 50;
 
   /** So many looks are taken at most: a loop whose every turn is long still has to get on. */
-  static final int MOST_LOOKS = 3;
+  static final int MAX_POLLS = 3;
 
-  private Turns() {}
+  private SocketPolling() {}
 
   /**
    * Does something once all sockets have been looked at again: whatever a peer has said by now, an
@@ -24,8 +24,8 @@
    * second look, while another socket's bytes are handled; then there is a third. Costs a look that
    * does not wait; on the loop.
    */
-  public static void afterReading(EventLoop loop, Runnable task) {
-    loop.execute(() -> look(loop, task, MOST_LOOKS));
+  public static void afterPoll(EventLoop loop, Runnable task) {
+    loop.execute(() -> look(loop, task, MAX_POLLS));
   }
 
   /**
@@ -49,7 +49,7 @@
     Runnable afterLook =
         () -> {
           long ageMs = TimeUnit.NANOSECONDS.toMillis(loop.ticker().nanoTime() - askedAt);
-          if (ageMs > STALE_MS && looksLeft > 1) {
+          if (ageMs > MAX_POLL_AGE_MS && looksLeft > 1) {
             look(loop, task, looksLeft - 1);
           } else {
             task.run();
--- a/src/main/java/hazelspoke/net/Transport.java
+++ b/src/main/java/hazelspoke/net/Transport.java
@@ -16,10 +16,10 @@
  * here unasked.
  */
 public record Transport(
-    Class<? extends ServerChannel> server,
-    Class<? extends Channel> client,
-    UnaryOperator<SocketAddress> listening,
-    UnaryOperator<SocketAddress> calling) {
+    Class<? extends ServerChannel> serverChannelType,
+    Class<? extends Channel> clientChannelType,
+    UnaryOperator<SocketAddress> bindAddress,
+    UnaryOperator<SocketAddress> connectAddress) {
   public static final Transport TCP =
       new Transport(
           Listener.class,
@@ -28,7 +28,7 @@
           UnaryOperator.identity());
 
   /** Sockets in the file system: whoever is called, it is the one that listens at {@code peer}. */
-  public static Transport local(Path own, Path peer) {
+  public static Transport unixSockets(Path own, Path peer) {
     return new Transport(
         NioServerDomainSocketChannel.class,
         NioDomainSocketChannel.class,
--- a/src/main/java/hazelspoke/net/LocalSockets.java
+++ b/src/main/java/hazelspoke/net/UnixSocketSupport.java
@@ -14,8 +14,8 @@
  * platform has them, and one may let them be made, connected and written to with nobody ever
  * arriving at the other end: what waits for such a peer waits in vain.
  */
-public final class LocalSockets {
-  private LocalSockets() {}
+public final class UnixSocketSupport {
+  private UnixSocketSupport() {}
 
   /**
    * Tries it with one byte, without waiting. The kernel completes a connection in the call itself
@@ -24,11 +24,11 @@
    *
    * @param at a path that does not exist, in a folder that may be written to; it is left as it was
    */
-  public static boolean carry(Path at) {
+  public static boolean isAvailable(Path at) {
     UnixDomainSocketAddress address = UnixDomainSocketAddress.of(at);
     try (ServerSocketChannel listening = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
       listening.bind(address);
-      return carry(listening, address);
+      return isAvailable(listening, address);
     } catch (IOException | UnsupportedOperationException | SecurityException e) {
       return false;
     } finally {
@@ -41,7 +41,8 @@
   }
 
   /** Whether one who calls there arrives here. */
-  static boolean carry(ServerSocketChannel here, UnixDomainSocketAddress there) throws IOException {
+  static boolean isAvailable(ServerSocketChannel here, UnixDomainSocketAddress there)
+      throws IOException {
     here.configureBlocking(false);
     try (SocketChannel calling = SocketChannel.open(StandardProtocolFamily.UNIX)) {
       calling.configureBlocking(false);
--- a/src/main/java/hazelspoke/node/Gateway.java
+++ b/src/main/java/hazelspoke/node/Gateway.java
@@ -3,7 +3,7 @@
 import hazelspoke.agreement.net.FleetSettings;
 import hazelspoke.back.http.HostClient;
 import hazelspoke.core.ByteBudget;
-import hazelspoke.core.ClassBook;
+import hazelspoke.core.ClassRegistry;
 import hazelspoke.core.Clock;
 import hazelspoke.core.Dispatcher;
 import hazelspoke.core.HostList;
@@ -12,8 +12,8 @@
 import hazelspoke.discovery.DiscoveryClient;
 import hazelspoke.front.http.ClientServer;
 import hazelspoke.net.EventLoops;
+import hazelspoke.net.SocketPolling;
 import hazelspoke.net.Transport;
-import hazelspoke.net.Turns;
 import hazelspoke.takeover.Succession;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -88,7 +88,7 @@
   private Dispatcher dispatcher;
 
   /** What may be asked for, under all settings that were taken so far. */
-  private volatile ClassBook classes;
+  private volatile ClassRegistry classes;
 
   private volatile ClientServer clients;
 
@@ -400,7 +400,7 @@
           boolean good = false;
           try {
             GatewayConfig next = config.readAgain(environment);
-            ClassBook book =
+            ClassRegistry book =
                 classes.reloaded(next.names().classes(), next.settings().classes(), clock.nowMs());
             good = true;
             apply(next, book);
@@ -426,7 +426,7 @@
         TimeUnit.MILLISECONDS);
   }
 
-  private void apply(GatewayConfig next, ClassBook book) {
+  private void apply(GatewayConfig next, ClassRegistry book) {
     if (discovery == null) {
       // Not started yet: it will be with this.
       config = next;
@@ -473,14 +473,14 @@
           } else {
             clients.drain();
           }
-          dispatcher.endBy(plan.settleByMs());
+          dispatcher.setShutdownDeadline(plan.settleByMs());
           loop.schedule(
-              () -> Turns.afterReading(loop, this::stopListening),
+              () -> SocketPolling.afterPoll(loop, this::stopListening),
               ACCEPT_ON_MS,
               TimeUnit.MILLISECONDS);
           long settleInMs = (long) Math.max(0, plan.settleByMs() - clock.nowMs());
           loop.schedule(
-              () -> Turns.afterReading(loop, this::settle), settleInMs, TimeUnit.MILLISECONDS);
+              () -> SocketPolling.afterPoll(loop, this::settle), settleInMs, TimeUnit.MILLISECONDS);
         });
     try {
       if (!drained.await(plan.leftMs(clock.nowMs()), TimeUnit.MILLISECONDS)) {
@@ -511,7 +511,7 @@
   private void stopListening() {
     clients.stopListening();
     loop.scheduleWithFixedDelay(
-        () -> Turns.afterReading(loop, this::checkDrained),
+        () -> SocketPolling.afterPoll(loop, this::checkDrained),
         DRAIN_CHECK_MS,
         DRAIN_CHECK_MS,
         TimeUnit.MILLISECONDS);
--- a/src/main/java/hazelspoke/node/GatewayConfig.java
+++ b/src/main/java/hazelspoke/node/GatewayConfig.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
-import hazelspoke.core.ClassBook;
+import hazelspoke.core.ClassRegistry;
 import hazelspoke.core.HostList;
 import hazelspoke.core.Names;
 import hazelspoke.discovery.HostListJson;
@@ -38,7 +38,7 @@
     HostList.Update known,
     Settings settings,
     Names names,
-    ClassBook classes,
+    ClassRegistry classes,
     JsonTree file) {
   private static final int USUAL_SOCKETS = 1_024;
 
@@ -95,7 +95,7 @@
           HostListJson.read(config.get("known"), names),
           read,
           names,
-          ClassBook.of(names.classes(), read.classes()),
+          ClassRegistry.of(names.classes(), read.classes()),
           config.without("known"));
     } catch (WireException e) {
       throw new ConfigException(e.getMessage());
--- a/src/main/java/hazelspoke/node/WarmUp.java
+++ b/src/main/java/hazelspoke/node/WarmUp.java
@@ -2,8 +2,8 @@
 
 import hazelspoke.core.Client;
 import hazelspoke.core.Log;
-import hazelspoke.net.LocalSockets;
 import hazelspoke.net.Transport;
+import hazelspoke.net.UnixSocketSupport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -83,7 +83,7 @@
       clear(own);
       Files.createDirectory(own);
       try {
-        if (LocalSockets.carry(own.resolve("host"))) {
+        if (UnixSocketSupport.isAvailable(own.resolve("host"))) {
           play(own.resolve("gateway"), own.resolve("host"), mostMs);
         } else {
           log.line("no warm-up: sockets in the file system carry nothing here");
@@ -106,13 +106,13 @@
   }
 
   private void play(Path front, Path host, long mostMs) throws InterruptedException {
-    Transport transport = Transport.local(front, host);
+    Transport transport = Transport.unixSockets(front, host);
     Gateway gateway =
         new Gateway(config, new PrintStream(OutputStream.nullOutputStream()), transport);
     try {
       new ServerBootstrap()
           .group(gateway.loop)
-          .channel(transport.server())
+          .channel(transport.serverChannelType())
           .childHandler(
               new ChannelInitializer<Channel>() {
                 @Override
@@ -126,7 +126,7 @@
       Bootstrap clients =
           new Bootstrap()
               .group(gateway.loop)
-              .channel(transport.client())
+              .channel(transport.clientChannelType())
               .remoteAddress(UnixDomainSocketAddress.of(front));
       for (int i = 0; i < CLIENTS; i++) {
         connect(clients);
--- a/src/main/java/hazelspoke/operations/Figures.java
+++ b/src/main/java/hazelspoke/operations/Figures.java
@@ -72,34 +72,34 @@
   }
 
   @Override
-  public void taken() {
+  public void onAccepted() {
     inProgress.inc();
   }
 
   @Override
-  public void answered(int requestClass, Answer.Outcome outcome) {
+  public void onAnswered(int requestClass, Answer.Outcome outcome) {
     inProgress.dec();
     classes.get(requestClass).count(outcome);
   }
 
   @Override
-  public void gone(boolean sent) {
+  public void onClientDisconnected(boolean sent) {
     inProgress.dec();
     (sent ? leftSent : leftWaiting).inc();
   }
 
   @Override
-  public void sent() {
+  public void onSent() {
     tries.inc();
   }
 
   @Override
-  public void late(LateAnswer why) {
+  public void onLateAnswer(LateAnswer why) {
     late.get(why).inc();
   }
 
   @Override
-  public void violated(Violations.Kind kind) {
+  public void onViolation(Violations.Kind kind) {
     violations.get(kind).inc();
   }
 
--- a/src/main/java/hazelspoke/operations/ManagementServer.java
+++ b/src/main/java/hazelspoke/operations/ManagementServer.java
@@ -59,7 +59,7 @@
             .group(group)
             .channel(NioServerSocketChannel.class)
             .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.receiveAllocator())
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
--- a/src/test/java/hazelspoke/core/InflowTest.java
+++ b/src/test/java/hazelspoke/core/BodyStreamTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 
 /** Any order of reading, writing, pausing and breaking off. */
-class InflowTest {
+class BodyStreamTest {
   private static final int READ = 4_096;
 
   /** Plays one course of events; the seed is printed with a failure. */
@@ -22,23 +22,23 @@
     boolean[] abandoned = {false};
     int[] ends = {0};
     int[] breaks = {0};
-    Inflow flow =
-        new Inflow(
-            new Inflow.Source() {
+    BodyStream flow =
+        new BodyStream(
+            new BodyStream.Source() {
               @Override
-              public void flowing(boolean on) {
+              public void setReading(boolean on) {
                 flowing[0] = on;
               }
 
               @Override
-              public void abandoned() {
+              public void onAbandoned() {
                 abandoned[0] = true;
               }
             });
-    Inflow.Sink sink =
-        new Inflow.Sink() {
+    BodyStream.Sink sink =
+        new BodyStream.Sink() {
           @Override
-          public boolean take(byte[] bytes) {
+          public boolean write(byte[] bytes) {
             for (byte b : bytes) {
               got.add(b);
             }
@@ -52,12 +52,12 @@
           }
 
           @Override
-          public void ended() {
+          public void onComplete() {
             ends[0]++;
           }
 
           @Override
-          public void broken() {
+          public void onTruncated() {
             breaks[0]++;
           }
         };
@@ -102,7 +102,7 @@
       }
       assertThat(sent.subList(0, got.size())).isEqualTo(got);
       if (!abandoned[0] && !failed) {
-        assertThat(sent.size() - got.size()).isLessThan(Inflow.MOST_WAITING_BYTES + READ);
+        assertThat(sent.size() - got.size()).isLessThan(BodyStream.MAX_PENDING_BYTES + READ);
       }
       assertThat(ends[0] + breaks[0]).isLessThanOrEqualTo(1);
     }
--- a/src/test/java/hazelspoke/core/CoreRig.java
+++ b/src/test/java/hazelspoke/core/DispatcherFixture.java
@@ -20,11 +20,11 @@
 import ternscale.api.Settings.RequestClass;
 
 /** A dispatcher between a front and a back that speak no protocol, in time that is made here. */
-final class CoreRig implements Hosts, Discovery {
+final class DispatcherFixture implements HostTransport, Discovery {
   static final double DEADLINE_MS = 1_000;
 
   /** An asker; keeps what it was answered. */
-  static final class Asker implements Client {
+  static final class RecordingClient implements Client {
     final List<Answer> answers = new ArrayList<>();
     boolean gone;
     Request request;
@@ -43,7 +43,7 @@
   }
 
   /** A call at a host, which ends as the test says. */
-  final class Call implements Ticket {
+  final class Call implements CallHandle {
     final HostCall call;
     boolean sent;
     boolean over;
@@ -53,17 +53,17 @@
     }
 
     @Override
-    public boolean isBegun() {
+    public boolean isFirstByteSent() {
       return sent;
     }
 
     @Override
-    public boolean isSent() {
+    public boolean isLastByteSent() {
       return sent;
     }
 
     @Override
-    public void giveUp() {
+    public void cancel() {
       over = true;
       calls.remove(this);
     }
@@ -88,9 +88,9 @@
         Body body = new Body();
         ByteBudget.Share share = answers.share(() -> {});
         share.add(7);
-        call.answered(new Metadata(), "", body, share);
+        call.onAnswer(new Metadata(), "", body, share);
       } else {
-        call.ended(result, "");
+        call.onEnd(result, "");
       }
     }
   }
@@ -107,7 +107,7 @@
   final Clock clock = new Clock(ticker);
   private int asked;
 
-  CoreRig(int openCap, Function<Actions, Balancer> module) {
+  DispatcherFixture(int openCap, Function<Actions, Balancer> module) {
     dispatcher =
         new Dispatcher(
             channel.eventLoop(),
@@ -146,8 +146,8 @@
   }
 
   /** A request with a body, whole and handed over. */
-  Asker ask() {
-    Asker asker = new Asker();
+  RecordingClient ask() {
+    RecordingClient asker = new RecordingClient();
     ByteBudget.Share share = bodies.share(() -> {});
     share.add(100);
     Request request =
@@ -169,9 +169,9 @@
     return asker;
   }
 
-  void leave(Asker asker) {
+  void leave(RecordingClient asker) {
     asker.gone = true;
-    dispatcher.onClientGone(asker.exchange);
+    dispatcher.onClientDisconnected(asker.exchange);
   }
 
   /** Lets time pass, step by step as a loop would. */
@@ -189,7 +189,7 @@
   }
 
   @Override
-  public Ticket start(String host, HostCall call) {
+  public CallHandle start(String host, HostCall call) {
     Call started = new Call(call);
     calls.add(started);
     return started;
@@ -204,10 +204,10 @@
   }
 
   @Override
-  public void forget(String host) {}
+  public void remove(String host) {}
 
   @Override
-  public void keepOnly(Set<String> hosts) {}
+  public void retainOnly(Set<String> hosts) {}
 
   @Override
   public void watch(boolean on) {}
--- a/src/test/java/hazelspoke/core/CoreTest.java
+++ b/src/test/java/hazelspoke/core/DispatcherTest.java
@@ -21,11 +21,11 @@
 import ternscale.api.Settings;
 
 /** What the core promises to fronts and backs, whatever they and the module do. */
-class CoreTest {
+class DispatcherTest {
   private static final long PATIENCE_MS = 60_000;
 
   /** An attempt is waited for until an eighth of the client's patience is left. */
-  private static final long WAITED_MS = (long) (CoreRig.DEADLINE_MS * 7 / 8);
+  private static final long WAITED_MS = (long) (DispatcherFixture.DEADLINE_MS * 7 / 8);
 
   /**
    * A module that asks for anything at any time, sense or not: attempts of what has ended, two
@@ -164,20 +164,20 @@
   void everyRequestGetsOneAnswerInTimeAndNothingStaysWhateverHappens(
       @ForAll long seed,
       @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 999) Integer> steps) {
-    CoreRig rig = new CoreRig(20, actions -> new Wild(actions, seed));
-    List<CoreRig.Asker> askers = new ArrayList<>();
+    DispatcherFixture rig = new DispatcherFixture(20, actions -> new Wild(actions, seed));
+    List<DispatcherFixture.RecordingClient> askers = new ArrayList<>();
     for (int step : steps) {
       int what = step % 10;
       int which = step / 10;
       if (what < 3) {
         askers.add(rig.ask());
       } else if (what == 3 && !askers.isEmpty()) {
-        CoreRig.Asker asker = askers.get(which % askers.size());
+        DispatcherFixture.RecordingClient asker = askers.get(which % askers.size());
         if (asker.answers.isEmpty()) {
           rig.leave(asker);
         }
       } else if (what < 7 && !rig.calls.isEmpty()) {
-        CoreRig.Call call = rig.calls.get(which % rig.calls.size());
+        DispatcherFixture.Call call = rig.calls.get(which % rig.calls.size());
         if (what == 4) {
           call.write();
         } else {
@@ -192,13 +192,13 @@
       checkAnswers(askers);
     }
     int written = rig.written.size();
-    rig.pass((long) CoreRig.DEADLINE_MS + 40);
+    rig.pass((long) DispatcherFixture.DEADLINE_MS + 40);
     checkAnswers(askers);
-    for (CoreRig.Asker asker : askers) {
+    for (DispatcherFixture.RecordingClient asker : askers) {
       assertThat(asker.answers).hasSize(asker.gone ? 0 : 1);
       assertThat(rig.dispatcher.isOpen(asker.request.txn())).isFalse();
     }
-    assertThat(rig.remaining).allMatch(ms -> ms >= 0 && ms <= CoreRig.DEADLINE_MS);
+    assertThat(rig.remaining).allMatch(ms -> ms >= 0 && ms <= DispatcherFixture.DEADLINE_MS);
     assertThat(rig.written).hasSize(written);
     // Calls that the module never took back end late; nobody is told, and what they hold goes.
     List.copyOf(rig.calls).forEach(call -> call.end(Result.OK));
@@ -210,8 +210,8 @@
     assertThat(rig.answers.usedBytes()).as("answers").isZero();
   }
 
-  private static void checkAnswers(List<CoreRig.Asker> askers) {
-    for (CoreRig.Asker asker : askers) {
+  private static void checkAnswers(List<DispatcherFixture.RecordingClient> askers) {
+    for (DispatcherFixture.RecordingClient asker : askers) {
       assertThat(asker.answers).hasSizeLessThanOrEqualTo(asker.gone ? 0 : 1);
     }
   }
@@ -219,10 +219,10 @@
   /** Long before their deadlines: what is kept is in proportion to what is open. */
   @Test
   void nothingOfTenThousandAnsweredRequestsCanBeReached() throws Exception {
-    CoreRig rig = new CoreRig(100, Plain::new);
+    DispatcherFixture rig = new DispatcherFixture(100, Plain::new);
     List<WeakReference<?>> left = new ArrayList<>();
     for (int i = 0; i < 10_000; i++) {
-      CoreRig.Asker asker = rig.ask();
+      DispatcherFixture.RecordingClient asker = rig.ask();
       left.add(new WeakReference<>(asker));
       left.add(new WeakReference<>(asker.exchange));
       left.add(new WeakReference<>(asker.request));
@@ -234,15 +234,15 @@
       rig.written.clear();
     }
     awaitCleared(left);
-    assertThat(rig.dispatcher.held()).isZero();
+    assertThat(rig.dispatcher.retainedCount()).isZero();
   }
 
   /** The client has gone, the host has not answered: only the attempt's account is kept. */
   @Test
   void ofARequestWhoseAttemptIsStillOutOnlyItsAccountIsKept() throws Exception {
     Plain[] module = new Plain[1];
-    CoreRig rig = new CoreRig(100, actions -> module[0] = new Plain(actions));
-    CoreRig.Asker asker = rig.ask();
+    DispatcherFixture rig = new DispatcherFixture(100, actions -> module[0] = new Plain(actions));
+    DispatcherFixture.RecordingClient asker = rig.ask();
     rig.calls.get(0).write();
     rig.written.clear();
     List<WeakReference<?>> left = new ArrayList<>();
@@ -256,13 +256,13 @@
     assertThat(module[0].outcomes).hasSize(1);
     assertThat(module[0].outcomes.get(0).requestEnded()).isTrue();
     assertThat(rig.answers.usedBytes()).isZero();
-    assertThat(rig.dispatcher.held()).isZero();
+    assertThat(rig.dispatcher.retainedCount()).isZero();
   }
 
   @Test
   void aClientThatLeavesInTheTurnOfItsAnswerIsNoTrouble() {
-    CoreRig rig = new CoreRig(100, Plain::new);
-    CoreRig.Asker asker = rig.ask();
+    DispatcherFixture rig = new DispatcherFixture(100, Plain::new);
+    DispatcherFixture.RecordingClient asker = rig.ask();
     rig.calls.get(0).end(Result.OK);
     rig.leave(asker);
     rig.turn();
@@ -274,8 +274,8 @@
   /** All deadlines in one millisecond, and the answer of one in the very turn of its time-out. */
   @Test
   void tenThousandWithOneDeadlineAreEachAnsweredOnce() {
-    CoreRig rig = new CoreRig(10_000, Plain::new);
-    List<CoreRig.Asker> askers = new ArrayList<>();
+    DispatcherFixture rig = new DispatcherFixture(10_000, Plain::new);
+    List<DispatcherFixture.RecordingClient> askers = new ArrayList<>();
     for (int i = 0; i < 10_000; i++) {
       askers.add(rig.ask());
     }
@@ -287,36 +287,37 @@
     rig.pass(1);
     assertThat(askers).allMatch(asker -> asker.answers.size() == 1);
     assertThat(askers.get(9_999).answers.get(0).outcome()).isEqualTo(Answer.Outcome.SERVED);
-    assertThat(askers.get(0).answers.get(0)).matches(Answer::late);
-    assertThat(rig.dispatcher.held()).isZero();
+    assertThat(askers.get(0).answers.get(0)).matches(Answer::deadlineExceeded);
+    assertThat(rig.dispatcher.retainedCount()).isZero();
   }
 
   /** A client that is told at its deadline has stopped listening when that comes. */
   @Test
   void whatAHostDoesNotAnswerIsGivenUpWhileTheClientStillListens() {
-    CoreRig rig = new CoreRig(100, Plain::new);
-    CoreRig.Asker asker = rig.ask();
+    DispatcherFixture rig = new DispatcherFixture(100, Plain::new);
+    DispatcherFixture.RecordingClient asker = rig.ask();
     rig.calls.get(0).write();
     assertThat(rig.remaining).containsExactly((double) WAITED_MS);
     rig.pass(WAITED_MS - 1);
     assertThat(asker.answers).isEmpty();
     rig.pass(1);
     assertThat(asker.answers).hasSize(1);
-    assertThat(asker.answers.get(0)).matches(Answer::late);
+    assertThat(asker.answers.get(0)).matches(Answer::deadlineExceeded);
     assertThat(rig.calls).isEmpty();
   }
 
   /** Of an attempt that begins later still, half of what is left is its host's. */
   @Test
   void aLateAttemptHasHalfOfWhatIsLeft() {
-    CoreRig rig =
-        new CoreRig(
+    DispatcherFixture rig =
+        new DispatcherFixture(
             100,
             actions ->
                 new Plain(actions) {
                   @Override
                   public void onRequest(double now, RequestInfo request) {
-                    actions.setTimer(Long.parseLong(request.id()), CoreRig.DEADLINE_MS - 40);
+                    actions.setTimer(
+                        Long.parseLong(request.id()), DispatcherFixture.DEADLINE_MS - 40);
                   }
 
                   @Override
@@ -324,8 +325,8 @@
                     actions.send(Long.toString(timer), "h", 0);
                   }
                 });
-    CoreRig.Asker asker = rig.ask();
-    rig.pass((long) CoreRig.DEADLINE_MS - 40);
+    DispatcherFixture.RecordingClient asker = rig.ask();
+    rig.pass((long) DispatcherFixture.DEADLINE_MS - 40);
     assertThat(rig.calls).hasSize(1);
     rig.pass(19);
     assertThat(asker.answers).isEmpty();
@@ -336,9 +337,9 @@
   /** A stalled loop reads its sockets before its timers fire. */
   @Test
   void whoseTimeIsOverIsAnsweredBeforeWhatIsReadBehindAStall() {
-    CoreRig rig = new CoreRig(100, Plain::new);
-    CoreRig.Asker overdue = rig.ask();
-    rig.ticker.advanceMillis((long) CoreRig.DEADLINE_MS + 200);
+    DispatcherFixture rig = new DispatcherFixture(100, Plain::new);
+    DispatcherFixture.RecordingClient overdue = rig.ask();
+    rig.ticker.advanceMillis((long) DispatcherFixture.DEADLINE_MS + 200);
     rig.ask();
     assertThat(overdue.answers).hasSize(1);
   }
@@ -346,9 +347,9 @@
   /** An answer that lies unread may still come in time. */
   @Test
   void whoseTimeMayNotBeOverIsNotAnsweredForAnother() {
-    CoreRig rig = new CoreRig(100, Plain::new);
-    CoreRig.Asker early = rig.ask();
-    rig.ticker.advanceMillis((long) CoreRig.DEADLINE_MS - 10);
+    DispatcherFixture rig = new DispatcherFixture(100, Plain::new);
+    DispatcherFixture.RecordingClient early = rig.ask();
+    rig.ticker.advanceMillis((long) DispatcherFixture.DEADLINE_MS - 10);
     rig.ask();
     assertThat(early.answers).isEmpty();
     rig.calls.get(0).end(Result.OK);
@@ -358,7 +359,7 @@
 
   @Test
   void beyondTheCapAllAreRefusedAtOnce() {
-    CoreRig rig = new CoreRig(2, Plain::new);
+    DispatcherFixture rig = new DispatcherFixture(2, Plain::new);
     rig.ask();
     rig.ask();
     assertThat(rig.ask().answers.get(0).outcome()).isEqualTo(Answer.Outcome.REFUSED);
@@ -369,53 +370,54 @@
   /** Each reason has its own cause here, and an answer in time has none. */
   @Test
   void anAnswerThatLeavesLateSaysWhy() {
-    CoreRig rig = new CoreRig(100, Plain::new);
-    CoreRig.Asker inTime = rig.ask();
+    DispatcherFixture rig = new DispatcherFixture(100, Plain::new);
+    DispatcherFixture.RecordingClient inTime = rig.ask();
     rig.calls.get(0).end(Result.OK);
-    rig.dispatcher.onAnswerLeft(inTime.exchange);
+    rig.dispatcher.onAnswerWritten(inTime.exchange);
     assertThat(rig.log.toString()).isEmpty();
 
-    CoreRig.Asker unread = rig.ask();
+    DispatcherFixture.RecordingClient unread = rig.ask();
     rig.calls.get(0).end(Result.OK);
-    rig.pass((long) CoreRig.DEADLINE_MS + 700);
-    rig.dispatcher.onAnswerLeft(unread.exchange);
-    assertThat(rig.log.toString()).contains("left 700 ms after", LateAnswer.UNREAD.words());
+    rig.pass((long) DispatcherFixture.DEADLINE_MS + 700);
+    rig.dispatcher.onAnswerWritten(unread.exchange);
+    assertThat(rig.log.toString()).contains("left 700 ms after", LateAnswer.UNREAD.description());
 
     rig.log.reset();
-    CoreRig.Asker stalled = rig.ask();
-    rig.ticker.advanceMillis((long) CoreRig.DEADLINE_MS + 500);
+    DispatcherFixture.RecordingClient stalled = rig.ask();
+    rig.ticker.advanceMillis((long) DispatcherFixture.DEADLINE_MS + 500);
     rig.turn();
     assertThat(stalled.answers).hasSize(1);
-    rig.dispatcher.onAnswerLeft(stalled.exchange);
-    assertThat(rig.log.toString()).contains("left 500 ms after", LateAnswer.STOOD_STILL.words());
+    rig.dispatcher.onAnswerWritten(stalled.exchange);
+    assertThat(rig.log.toString())
+        .contains("left 500 ms after", LateAnswer.STOOD_STILL.description());
 
     rig.log.reset();
-    CoreRig.Asker shared = rig.ask();
+    DispatcherFixture.RecordingClient shared = rig.ask();
     rig.ticker.advanceMillis(60);
     rig.turn();
-    rig.pass((long) CoreRig.DEADLINE_MS + 600);
-    rig.dispatcher.onAnswerLeft(shared.exchange);
+    rig.pass((long) DispatcherFixture.DEADLINE_MS + 600);
+    rig.dispatcher.onAnswerWritten(shared.exchange);
     assertThat(rig.log.toString()).as("60 ms explain none of 660").contains("did not take it");
   }
 
   @Test
   void whatTheModuleForgetsIsEndedRightAfterItsDeadlineAndSaidOnceItLeaves() {
-    CoreRig rig =
-        new CoreRig(
+    DispatcherFixture rig =
+        new DispatcherFixture(
             100,
             actions ->
                 new Plain(actions) {
                   @Override
                   public void onRequest(double now, RequestInfo request) {}
                 });
-    CoreRig.Asker forgotten = rig.ask();
-    rig.pass((long) (CoreRig.DEADLINE_MS + Dispatcher.OVERDUE_MS) + 1);
+    DispatcherFixture.RecordingClient forgotten = rig.ask();
+    rig.pass((long) (DispatcherFixture.DEADLINE_MS + Dispatcher.OVERDUE_GRACE_MS) + 1);
     assertThat(forgotten.answers).hasSize(1);
-    rig.dispatcher.onAnswerLeft(forgotten.exchange);
+    rig.dispatcher.onAnswerWritten(forgotten.exchange);
     assertThat(rig.log.toString()).contains("was left without an answer").doesNotContain("left 1");
     rig.pass(200);
-    rig.dispatcher.onAnswerLeft(forgotten.exchange);
-    assertThat(rig.log.toString()).contains(LateAnswer.LEFT_OPEN.words());
+    rig.dispatcher.onAnswerWritten(forgotten.exchange);
+    assertThat(rig.log.toString()).contains(LateAnswer.LEFT_OPEN.description());
   }
 
   private static void awaitCleared(List<WeakReference<?>> left) throws InterruptedException {
--- a/src/test/java/hazelspoke/core/EndingTest.java
+++ b/src/test/java/hazelspoke/core/ShutdownDeadlineTest.java
@@ -5,22 +5,22 @@
 import org.junit.jupiter.api.Test;
 
 /** The process has to have answered everything by a time that is sooner than the deadlines. */
-class EndingTest {
+class ShutdownDeadlineTest {
   private static final long LEFT_MS = 200;
 
-  private final CoreRig rig = new CoreRig(10, CoreTest.Plain::new);
+  private final DispatcherFixture rig = new DispatcherFixture(10, DispatcherTest.Plain::new);
 
   private void end() {
-    rig.dispatcher.endBy(rig.clock.nowMs() + LEFT_MS);
+    rig.dispatcher.setShutdownDeadline(rig.clock.nowMs() + LEFT_MS);
   }
 
   @Test
   void whatIsInHandIsAnsweredByThen() {
-    CoreRig.Asker asker = rig.ask();
+    DispatcherFixture.RecordingClient asker = rig.ask();
     rig.turn();
     rig.calls.get(0).write();
     end();
-    rig.pass(LEFT_MS + (long) Dispatcher.OVERDUE_MS + 1);
+    rig.pass(LEFT_MS + (long) Dispatcher.OVERDUE_GRACE_MS + 1);
     assertThat(asker.answers).hasSize(1);
     assertThat(asker.answers.get(0).outcome()).isEqualTo(Answer.Outcome.FAILED);
   }
@@ -39,8 +39,8 @@
   void whatComesWhenItIsOverIsNotSentOn() {
     end();
     rig.pass(LEFT_MS);
-    CoreRig.Asker late = rig.ask();
-    rig.pass(2 * (long) Dispatcher.OVERDUE_MS);
+    DispatcherFixture.RecordingClient late = rig.ask();
+    rig.pass(2 * (long) Dispatcher.OVERDUE_GRACE_MS);
     assertThat(rig.written).isEmpty();
     assertThat(late.answers).hasSize(1);
   }
--- a/src/test/java/hazelspoke/front/http/AcceptFailuresTest.java
+++ b/src/test/java/hazelspoke/front/http/AcceptFailuresTest.java
@@ -8,8 +8,8 @@
 import hazelspoke.core.Meter;
 import hazelspoke.core.Violations;
 import hazelspoke.net.EventLoops;
+import hazelspoke.net.SocketPolling;
 import hazelspoke.net.Transport;
-import hazelspoke.net.Turns;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -93,7 +93,7 @@
           .next()
           .submit(
               () -> {
-                Turns.readPending(child);
+                SocketPolling.readPending(child);
                 child.pipeline().fireExceptionCaught(new IllegalStateException("a bug"));
               })
           .sync();
--- a/src/test/java/hazelspoke/net/EventLoopsTest.java
+++ b/src/test/java/hazelspoke/net/EventLoopsTest.java
@@ -75,7 +75,9 @@
   })
   void aLoopWaitsForItsNextTimerRatherThanSpin(long delayNanos, long waited) {
     Recording handler = new Recording();
-    EventLoops.waiting(executor -> handler).newHandler(null).run(new Context(delayNanos));
+    EventLoops.withoutBusyPolling(executor -> handler)
+        .newHandler(null)
+        .run(new Context(delayNanos));
     assertThat(handler.delayNanos).isEqualTo(waited);
   }
 }
--- a/src/test/java/hazelspoke/net/TurnsTest.java
+++ b/src/test/java/hazelspoke/net/SocketPollingTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What is done after reading knows what peers have said, wherever the loop stood still. */
-class TurnsTest {
+class SocketPollingTest {
   private static final int PATIENCE_S = 30;
 
   private final EventLoopGroup group =
@@ -75,12 +75,12 @@
           () -> {
             // Both are due in the next turn, this one first.
             loop.execute(() -> loop.schedule(() -> stand(standing, goOn), 0, TimeUnit.NANOSECONDS));
-            Turns.afterReading(loop, () -> readBefore.complete(bytesRead.get()));
+            SocketPolling.afterPoll(loop, () -> readBefore.complete(bytesRead.get()));
           });
       hold(standing);
       peer.getOutputStream().write('b');
       // Far longer than a look stays good; that it is longer is all that counts.
-      TimeUnit.MILLISECONDS.sleep(4 * Turns.STALE_MS);
+      TimeUnit.MILLISECONDS.sleep(4 * SocketPolling.MAX_POLL_AGE_MS);
       goOn.countDown();
       assertThat(readBefore.get(PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(2);
     }
@@ -99,7 +99,7 @@
     loop.execute(
         () -> {
           stallEveryTurn(stalls);
-          Turns.afterReading(loop, () -> stallsBefore.complete(stalls.get()));
+          SocketPolling.afterPoll(loop, () -> stallsBefore.complete(stalls.get()));
         });
     assertThat(stallsBefore.get(PATIENCE_S, TimeUnit.SECONDS)).isLessThan(100);
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
@@ -107,7 +107,8 @@
 
   private void stallEveryTurn(AtomicInteger stalls) {
     if (!loop.isShuttingDown() && stalls.incrementAndGet() < 1_000) {
-      long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * Turns.STALE_MS);
+      long end =
+          System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * SocketPolling.MAX_POLL_AGE_MS);
       while (System.nanoTime() < end) {
         Thread.onSpinWait();
       }
--- a/src/test/java/hazelspoke/net/LocalSocketsTest.java
+++ b/src/test/java/hazelspoke/net/UnixSocketSupportTest.java
@@ -9,17 +9,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class LocalSocketsTest {
+class UnixSocketSupportTest {
   @Test
   void theyCarryHereAndLeaveNothingBehind(@TempDir Path folder) {
-    assertThat(LocalSockets.carry(folder.resolve("probe"))).isTrue();
+    assertThat(UnixSocketSupport.isAvailable(folder.resolve("probe"))).isTrue();
     assertThat(folder).isEmptyDirectory();
   }
 
   @Test
   void whereTheyCannotBeMadeTheyCarryNothing(@TempDir Path folder) {
-    assertThat(LocalSockets.carry(folder.resolve("no").resolve("folder"))).isFalse();
-    assertThat(LocalSockets.carry(folder.resolve("x".repeat(200)))).isFalse();
+    assertThat(UnixSocketSupport.isAvailable(folder.resolve("no").resolve("folder"))).isFalse();
+    assertThat(UnixSocketSupport.isAvailable(folder.resolve("x".repeat(200)))).isFalse();
   }
 
   /** Connected all right, and nobody came: the case in which a start waited for 2 s. */
@@ -30,7 +30,7 @@
         ServerSocketChannel here = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
       deaf.bind(elsewhere);
       here.bind(UnixDomainSocketAddress.of(folder.resolve("here")));
-      assertThat(LocalSockets.carry(here, elsewhere)).isFalse();
+      assertThat(UnixSocketSupport.isAvailable(here, elsewhere)).isFalse();
     }
   }
 }
--- a/src/test/java/hazelspoke/node/ChurnTest.java
+++ b/src/test/java/hazelspoke/node/ChurnTest.java
@@ -39,9 +39,9 @@
         assertThat(displaced.startedAt()).isEqualTo(i - 1);
       }
       assertThat(hosts.setAddress(host("b5", 5), address)).isNull();
-      hosts.keepOnly(Set.of("b999"));
+      hosts.retainOnly(Set.of("b999"));
       assertThat(hosts.size()).isEqualTo(1);
-      hosts.forget("b999");
+      hosts.remove("b999");
       assertThat(hosts.size()).isZero();
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
--- a/src/test/java/hazelspoke/node/RepeatedAnswerTest.java
+++ b/src/test/java/hazelspoke/node/RepeatedAnswerTest.java
@@ -127,12 +127,12 @@
     }
 
     @Override
-    public boolean mayBegin() {
+    public boolean maySendFirstByte() {
       return true;
     }
 
     @Override
-    public boolean mayFinish() {
+    public boolean maySendLastByte() {
       return true;
     }
 
@@ -142,17 +142,17 @@
     }
 
     @Override
-    public void sent() {}
+    public void onSent() {}
 
     @Override
-    public void answered(Metadata metadata, String loadReport, Body body, ByteBudget.Share share) {
+    public void onAnswer(Metadata metadata, String loadReport, Body body, ByteBudget.Share share) {
       end.complete(body.text());
       body.abandon();
       share.release();
     }
 
     @Override
-    public void ended(Result result, String loadReport) {
+    public void onEnd(Result result, String loadReport) {
       end.complete(result.toString());
     }
   }
