--- a/src/main/java/hazelspoke/back/http/HostClient.java
+++ b/src/main/java/hazelspoke/back/http/HostClient.java
@@ -40,14 +40,14 @@
    * tells that copy from the answer to the next request, so none may be written before it could
    * have come; bytes that come on an unused connection close it ({@link HostConnection#heard}).
    */
-  public static final double SETTLE_MS = 20;
+  public static final double REUSE_DELAY_MS = 20;
 
   private final EventLoop loop;
   private final Transport transport;
   private final Clock clock;
   private final Bootstrap bootstrap;
   private final double idleMs;
-  private final int mostConnections;
+  private final int maxConnections;
   private final ByteBudget answerBudget;
   private final Map<String, Pool> pools = new HashMap<>();
   private int connections;
@@ -57,12 +57,12 @@
       Transport transport,
       Clock clock,
       ternscale.api.Settings.Limits limits,
-      int mostConnections,
+      int maxConnections,
       ByteBudget answerBudget) {
     this.loop = loop;
     this.transport = transport;
     this.clock = clock;
-    this.mostConnections = mostConnections;
+    this.maxConnections = maxConnections;
     this.answerBudget = answerBudget;
     idleMs = IDLE_PART * limits.idleConnectionMs();
     bootstrap =
@@ -137,7 +137,7 @@
     if (idle != null) {
       ticket.connection = idle;
       ticket.beginAfterReading();
-    } else if (connections < mostConnections || closeOneIdle()) {
+    } else if (connections < maxConnections || closeOneIdle()) {
       pool.connect(ticket);
     } else {
       loop.execute(() -> ticket.fail(Result.NOT_SENT));
@@ -248,7 +248,7 @@
       while (mostRecentFirst.hasNext()) {
         HostConnection connection = mostRecentFirst.next();
         double restedMs = now - connection.restsSince;
-        if (restedMs < SETTLE_MS) {
+        if (restedMs < REUSE_DELAY_MS) {
           continue;
         }
         mostRecentFirst.remove();
--- a/src/main/java/hazelspoke/back/http/HostConnection.java
+++ b/src/main/java/hazelspoke/back/http/HostConnection.java
@@ -56,7 +56,7 @@
   private final HostClient client;
   private final HostClient.Pool pool;
   private final LastByteGate gate = new LastByteGate();
-  private final AnswerGuard guard = new AnswerGuard(this);
+  private final ResponseStartValidator guard = new ResponseStartValidator(this);
   private final StrictResponseDecoder decoder =
       new StrictResponseDecoder(HttpLimits.decoderConfig());
   private final Channel channel;
--- a/src/main/java/hazelspoke/back/http/AnswerGuard.java
+++ b/src/main/java/hazelspoke/back/http/ResponseStartValidator.java
@@ -10,13 +10,13 @@
  * without one would keep its request waiting; and it hands out an answer whenever one comes, asked
  * for or not. Any answer begins with the name of the protocol, so nothing good is lost here.
  */
-final class AnswerGuard extends ChannelInboundHandlerAdapter {
+final class ResponseStartValidator extends ChannelInboundHandlerAdapter {
   private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
   private final HostConnection connection;
   private int matched;
 
-  AnswerGuard(HostConnection connection) {
+  ResponseStartValidator(HostConnection connection) {
     this.connection = connection;
   }
 
--- a/src/main/java/hazelspoke/discovery/DiscoveryClient.java
+++ b/src/main/java/hazelspoke/discovery/DiscoveryClient.java
@@ -88,7 +88,8 @@
    * @param pushed whether the list is told unasked, so that the watch is held from here
    * @param version of the list that the gateway has
    */
-  public record Start(InetSocketAddress address, boolean pushed, Names names, long version) {}
+  public record InitialState(
+      InetSocketAddress address, boolean pushed, Names names, long version) {}
 
   private final Bootstrap bootstrap;
   private final Transport transport;
@@ -119,7 +120,7 @@
   public DiscoveryClient(
       EventLoop loop,
       Transport transport,
-      Start start,
+      InitialState start,
       Clock clock,
       Log log,
       Consumer<HostList.Update> onUpdate,
--- a/src/main/java/hazelspoke/front/http/ClientConnection.java
+++ b/src/main/java/hazelspoke/front/http/ClientConnection.java
@@ -70,7 +70,7 @@
     ANSWERING;
 
     /** Whether bytes of a request were read that has had no whole answer. */
-    boolean isOwing() {
+    boolean isAwaitingResponse() {
       return this == HEAD || this == READING || this == IN_HAND || this == ANSWERING;
     }
   }
@@ -137,11 +137,11 @@
   }
 
   /** Bytes have come, which are not decoded yet. */
-  void heard() {
+  void bytesReceived() {
     heardAt = server.nowMs();
     if (state == State.FRESH || state == State.IDLE) {
       enter(State.HEAD);
-      if (server.isSettled()) {
+      if (server.isRejectingRequests()) {
         turnAway(HttpResponseStatus.SERVICE_UNAVAILABLE, "closing");
       }
     }
@@ -149,22 +149,22 @@
 
   private void close() {
     // At once, as the channel tells of its end on a later turn.
-    server.closed(this);
+    server.connectionClosed(this);
     channel.close();
   }
 
   /** Closes it from here, where its client is not known to have gone. */
   private void closeUnasked() {
-    if (owesAnswer() && channel.isActive()) {
-      server.violated(Violations.Kind.CLOSED_UNANSWERED, describe());
+    if (hasPendingResponse() && channel.isActive()) {
+      server.reportViolation(Violations.Kind.CLOSED_UNANSWERED, describe());
     }
     close();
   }
 
   /** Whether a request has begun here whose answer waits for this side, not for its client. */
-  boolean owesAnswer() {
+  boolean hasPendingResponse() {
     boolean unread = state == State.ANSWERING && writer != null && writer.awaitsPeer();
-    return state.isOwing() && !unread;
+    return state.isAwaitingResponse() && !unread;
   }
 
   /** The request that is open here, for the log. */
@@ -204,7 +204,7 @@
    * This process ends now: a request that is still coming is refused, and nothing is read as one
    * any more. Reads first what its client has sent by now.
    */
-  void settle() {
+  void rejectIncompleteRequest() {
     readPending();
     if (!channel.isActive()) {
       return;
@@ -223,7 +223,7 @@
     State before = state;
     state = next;
     enteredAt = server.nowMs();
-    server.changed(this, before);
+    server.stateChanged(this, before);
   }
 
   @Override
@@ -259,7 +259,7 @@
   private void sentAhead() {
     keepAlive = false;
     if (exchange != null) {
-      server.clientGone(exchange);
+      server.clientDisconnected(exchange);
       exchange = null;
     }
     answer(HttpResponseStatus.BAD_REQUEST, "one request at a time", 0);
@@ -395,7 +395,7 @@
       } else {
         checkNotOpen();
         enter(State.IN_HAND);
-        server.taken(exchange);
+        server.requestAccepted(exchange);
       }
     }
   }
@@ -420,7 +420,7 @@
               }
             });
     body.continueWith(passing, declaredBytes);
-    server.taken(handed);
+    server.requestAccepted(handed);
   }
 
   private void passOn(HttpContent content) {
@@ -432,7 +432,7 @@
       Exchange whole = exchange;
       enter(State.IN_HAND);
       // Before its host has it: the time of the request runs from here.
-      server.whole(whole);
+      server.requestComplete(whole);
       to.end();
     }
   }
@@ -451,7 +451,7 @@
   @Override
   public void answer(Answer answer) {
     if (state == State.ANSWERING || state == State.CLOSING) {
-      server.violated(Violations.Kind.ANSWERED_TWICE, describe());
+      server.reportViolation(Violations.Kind.ANSWERED_TWICE, describe());
       if (answer.outcome() == Answer.Outcome.SERVED) {
         answer.share().release();
         answer.body().abandon();
@@ -511,7 +511,7 @@
       keepAlive = false;
       unfinished = passing != null;
     }
-    keepAlive &= !server.isSendingAway();
+    keepAlive &= !server.isClosingAfterResponse();
     HeadWriter head = HeadWriter.answer(channel.alloc(), status);
     if (!keepAlive) {
       head.add(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -559,7 +559,7 @@
     }
     if (state == State.IN_HAND && !ahead.isEmpty()) {
       sentAhead();
-    } else if (state == State.IDLE && server.isLeaving()) {
+    } else if (state == State.IDLE && server.isShuttingDown()) {
       expire();
     } else if (aheadBytes <= MOST_AHEAD_BYTES) {
       channel.config().setAutoRead(true);
@@ -601,11 +601,11 @@
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     boolean broken = cause instanceof IOException;
     if (!broken) {
-      server.failed(cause);
+      server.logFailure(cause);
     }
     if (broken || !channel.isActive()) {
       close();
-    } else if (state.isOwing() && state != State.ANSWERING) {
+    } else if (state.isAwaitingResponse() && state != State.ANSWERING) {
       failOwn();
     } else {
       // Where nothing is asked an answer would be taken for that to the next request.
@@ -617,7 +617,7 @@
   private void failOwn() {
     keepAlive = false;
     if (state == State.IN_HAND && exchange != null) {
-      server.clientGone(exchange);
+      server.clientDisconnected(exchange);
       exchange = null;
     }
     dropExchange();
@@ -631,7 +631,7 @@
 
   /** The connection has ended: nothing more is done for who was there. May be told twice. */
   private void ended() {
-    server.closed(this);
+    server.connectionClosed(this);
     if (writer != null) {
       BodyWriter unfinished = writer;
       writer = null;
@@ -641,7 +641,7 @@
     answerLeft();
     dropAhead();
     if (state == State.IN_HAND && exchange != null) {
-      server.clientGone(exchange);
+      server.clientDisconnected(exchange);
       exchange = null;
     }
     dropExchange();
@@ -659,7 +659,7 @@
     if (answering != null) {
       Exchange left = answering;
       answering = null;
-      server.answerLeft(left);
+      server.responseWritten(left);
     }
   }
 
@@ -672,7 +672,7 @@
         // It was handed over, but never became whole: it is owed no answer but this side's.
         passing.fail();
         passing = null;
-        server.clientGone(dropped);
+        server.clientDisconnected(dropped);
       } else {
         dropped.share().release();
       }
--- a/src/main/java/hazelspoke/front/http/ClientServer.java
+++ b/src/main/java/hazelspoke/front/http/ClientServer.java
@@ -84,7 +84,7 @@
   private final ByteBudget bodyBudget;
   private final Log log;
   private final Violations violations;
-  private final int mostConnections;
+  private final int maxConnections;
 
   /** All connections by what they are at, the longest so first. */
   private final Map<State, Set<ClientConnection>> byState = new EnumMap<>(State.class);
@@ -93,11 +93,11 @@
   private boolean makingRoom;
   private Channel listener;
   private boolean ready;
-  private boolean leaving;
+  private boolean shuttingDown;
   private boolean handedOver;
 
   /** Whether whatever still comes is refused: this process ends. */
-  private boolean settled;
+  private boolean rejectingRequests;
 
   /** When the drain by operators began; infinite when there is none. Any thread may set it. */
   private volatile double drainingSince = Double.POSITIVE_INFINITY;
@@ -111,7 +111,7 @@
       ByteBudget bodyBudget,
       Log log,
       Violations violations,
-      int mostConnections) {
+      int maxConnections) {
     this.loop = loop;
     this.clock = clock;
     this.names = names;
@@ -120,7 +120,7 @@
     this.bodyBudget = bodyBudget;
     this.log = log;
     this.violations = violations;
-    this.mostConnections = Math.max(1, mostConnections - ACCEPTED_AT_ONCE);
+    this.maxConnections = Math.max(1, maxConnections - ACCEPTED_AT_ONCE);
     for (State state : State.values()) {
       byState.put(state, new LinkedHashSet<>());
     }
@@ -164,12 +164,12 @@
     ClientConnection connection = new ClientConnection(this, ch);
     ch.pipeline()
         .addLast(
-            new FirstBytes(connection),
+            new FirstBytesHandler(connection),
             new StrictRequestDecoder(HttpLimits.decoderConfig()),
             connection);
     byState.get(connection.state()).add(connection);
     open++;
-    if (open >= mostConnections && !makingRoom) {
+    if (open >= maxConnections && !makingRoom) {
       listener.config().setAutoRead(false);
       makeRoomAfter(0);
     }
@@ -204,7 +204,7 @@
   private void makeRoom() {
     makingRoom = false;
     double now = clock.nowMs();
-    while (open >= mostConnections) {
+    while (open >= maxConnections) {
       ClientConnection victim = victim(now);
       if (victim == null) {
         makeRoomAfter((long) FRESH_MS);
@@ -231,13 +231,13 @@
     return null;
   }
 
-  public void changed(ClientConnection connection, State before) {
+  public void stateChanged(ClientConnection connection, State before) {
     if (byState.get(before).remove(connection)) {
       byState.get(connection.state()).add(connection);
     }
   }
 
-  public void closed(ClientConnection connection) {
+  public void connectionClosed(ClientConnection connection) {
     if (byState.get(connection.state()).remove(connection)) {
       open--;
     }
@@ -245,7 +245,7 @@
 
   private void sweep() {
     boolean go = clock.nowMs() - drainingSince >= DRAIN_REST_MS;
-    double restMs = open > mostConnections / 2 ? IDLE_MS : IDLE_WITH_ROOM_MS;
+    double restMs = open > maxConnections / 2 ? IDLE_MS : IDLE_WITH_ROOM_MS;
     expire(State.FRESH, go ? DRAIN_REST_MS : IDLE_MS);
     expire(State.IDLE, go ? 0 : restMs);
     expire(State.HEAD, HEAD_MS);
@@ -273,12 +273,12 @@
   }
 
   /** Counts what must never happen. */
-  void violated(Violations.Kind kind, String request) {
+  void reportViolation(Violations.Kind kind, String request) {
     violations.count(kind, request);
   }
 
   /** Notes an error of this program's own. */
-  void failed(Throwable cause) {
+  void logFailure(Throwable cause) {
     log.failure("a connection of a client's", cause);
   }
 
@@ -296,12 +296,12 @@
   }
 
   /** Whether clients are told with each answer to go elsewhere. */
-  public boolean isSendingAway() {
-    return leaving || handedOver || isDraining();
+  public boolean isClosingAfterResponse() {
+    return shuttingDown || handedOver || isDraining();
   }
 
-  public boolean isLeaving() {
-    return leaving;
+  public boolean isShuttingDown() {
+    return shuttingDown;
   }
 
   private boolean isDraining() {
@@ -334,20 +334,20 @@
     return intake.isOpen(exchange.request().txn());
   }
 
-  public void taken(Exchange exchange) {
+  public void requestAccepted(Exchange exchange) {
     intake.onRequest(exchange);
   }
 
-  public void whole(Exchange exchange) {
+  public void requestComplete(Exchange exchange) {
     intake.onWhole(exchange);
   }
 
-  public void clientGone(Exchange exchange) {
+  public void clientDisconnected(Exchange exchange) {
     intake.onClientGone(exchange);
   }
 
   /** The answer to a request that was taken has left, or its connection has ended before that. */
-  void answerLeft(Exchange exchange) {
+  void responseWritten(Exchange exchange) {
     intake.onAnswerLeft(exchange);
   }
 
@@ -355,7 +355,7 @@
    * The gateway is unready, and goes on serving: who has a connection may use it to the end, as the
    * others may be busy or away themselves. At the end all come to the others at once.
    */
-  public void drain() {
+  public void markUnready() {
     ready = false;
   }
 
@@ -374,7 +374,7 @@
    * there is room, and the rest as others leave.
    */
   public void stopListening() {
-    leaving = true;
+    shuttingDown = true;
     List.copyOf(byState.get(State.IDLE)).forEach(ClientConnection::expire);
     closeListener();
   }
@@ -385,7 +385,7 @@
       return true;
     }
     if (listener instanceof Listener own) {
-      return own.closeEmpty(mostConnections - open);
+      return own.closeEmpty(maxConnections - open);
     }
     listener.close();
     return true;
@@ -395,25 +395,25 @@
    * This process ends: whoever's request is still coming is refused at once, also on connections
    * that come from now on. What had come whole has to be answered before this.
    */
-  public void settle() {
+  public void rejectIncompleteRequests() {
     closeListener();
-    settled = true;
+    rejectingRequests = true;
     for (State state : State.values()) {
-      List.copyOf(byState.get(state)).forEach(ClientConnection::settle);
+      List.copyOf(byState.get(state)).forEach(ClientConnection::rejectIncompleteRequest);
     }
   }
 
   /** Whether no request is taken any more, however late it comes. */
-  boolean isSettled() {
-    return settled;
+  boolean isRejectingRequests() {
+    return rejectingRequests;
   }
 
   /** Counts whoever has no answer as this process ends; nobody has any more time then. */
-  public void checkExit() {
+  public void reportUnansweredAtExit() {
     for (Set<ClientConnection> connections : byState.values()) {
       for (ClientConnection connection : connections) {
-        if (connection.owesAnswer()) {
-          violated(Violations.Kind.EXIT_UNANSWERED, connection.describe());
+        if (connection.hasPendingResponse()) {
+          reportViolation(Violations.Kind.EXIT_UNANSWERED, connection.describe());
         }
       }
     }
@@ -424,7 +424,7 @@
    * the sockets were read. Who is new has a moment to say something, and who was told good-bye one
    * to go: an end on what a client still sends would reset the answer on its way to it.
    */
-  public boolean hasNobodyWaiting() {
+  public boolean hasNoPendingClients() {
     expire(State.FRESH, LEAVE_MS);
     double before = clock.nowMs() - LEAVE_MS;
     return closeListener()
--- a/src/main/java/hazelspoke/front/http/FirstBytes.java
+++ b/src/main/java/hazelspoke/front/http/FirstBytesHandler.java
@@ -4,16 +4,16 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /** Tells a connection that bytes have come before they are decoded: a head may take its time. */
-final class FirstBytes extends ChannelInboundHandlerAdapter {
+final class FirstBytesHandler extends ChannelInboundHandlerAdapter {
   private final ClientConnection connection;
 
-  FirstBytes(ClientConnection connection) {
+  FirstBytesHandler(ClientConnection connection) {
     this.connection = connection;
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
-    connection.heard();
+    connection.bytesReceived();
     ctx.fireChannelRead(message);
   }
 }
--- a/src/main/java/hazelspoke/node/Gateway.java
+++ b/src/main/java/hazelspoke/node/Gateway.java
@@ -330,7 +330,7 @@
         new DiscoveryClient(
             loop,
             transport,
-            new DiscoveryClient.Start(
+            new DiscoveryClient.InitialState(
                 config.discovery(), pushed, config.names(), config.known().version()),
             clock,
             log,
@@ -471,7 +471,7 @@
           if (followed) {
             clients.handOver();
           } else {
-            clients.drain();
+            clients.markUnready();
           }
           dispatcher.endBy(plan.settleByMs());
           loop.schedule(
@@ -518,7 +518,7 @@
   }
 
   private void checkDrained() {
-    if (clients.hasNobodyWaiting()) {
+    if (clients.hasNoPendingClients()) {
       drained.countDown();
     }
   }
@@ -526,7 +526,7 @@
   /** All that is owed is answered now, as failed or refused: SIGKILL may come soon. */
   private void settle() {
     dispatcher.failAll();
-    clients.settle();
+    clients.rejectIncompleteRequests();
     settled.countDown();
   }
 
@@ -535,7 +535,7 @@
       loop.submit(
               () -> {
                 if (clients != null) {
-                  clients.checkExit();
+                  clients.reportUnansweredAtExit();
                 }
               })
           .await(ShutdownPlan.HELD_UP_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/hazelspoke/node/AloneTest.java
+++ b/src/test/java/hazelspoke/node/AloneTest.java
@@ -83,7 +83,7 @@
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     List<FleetNode> others = new ArrayList<>(List.of(open("g2"), open("g3")));
     try (FakeServer host =
-            new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+            new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(1, host))) {
       Files.writeString(
           file, Rig.config("127.0.0.1:0", 160, discovery.address(), Rig.list(1, host)));
--- a/src/test/java/hazelspoke/node/BadClientsTest.java
+++ b/src/test/java/hazelspoke/node/BadClientsTest.java
@@ -27,7 +27,7 @@
               if (head.contains("X-Hold")) {
                 held.await();
               }
-              return FakeServer.answer(out, FakeServer.ok("made by the host"));
+              return FakeServer.respond(out, FakeServer.ok("made by the host"));
             });
     discovery = Rig.discovery(Rig.list(2, host));
     rig = new Rig(160, discovery, host);
@@ -47,7 +47,7 @@
       for (int i = 0; i < 3; i++) {
         Rig.send(client, Rig.dispatch(Rig.id(), "Content-Length: 3\r\n") + "abc");
         assertThat(Rig.receive(client)).startsWith("HTTP/1.1 200").endsWith("made by the host");
-        rig.settle();
+        rig.awaitReusableConnections();
       }
     }
     assertThat(host.connections.get()).isEqualTo(1);
@@ -97,12 +97,12 @@
     try (Socket first = rig.connect()) {
       Rig.send(first, Rig.dispatch(id, "X-Hold: 1\r\n"));
       Rig.await("the first request at the host", () -> host.heads.size() == 1);
-      assertThat(rig.ask(Rig.dispatch(id, ""))).startsWith("HTTP/1.1 409");
+      assertThat(rig.request(Rig.dispatch(id, ""))).startsWith("HTTP/1.1 409");
       held.countDown();
       assertThat(Rig.receive(first)).startsWith("HTTP/1.1 200");
     }
     assertThat(host.heads).hasSize(1);
-    assertThat(rig.ask(Rig.dispatch(id, ""))).startsWith("HTTP/1.1 200");
+    assertThat(rig.request(Rig.dispatch(id, ""))).startsWith("HTTP/1.1 200");
   }
 
   @Test
@@ -136,7 +136,7 @@
           Rig.send(silent.get(i), "POST /dispatch HTTP/1.1\r\nX-Lane: disp");
         }
       }
-      assertThat(rig.ask(Rig.dispatch(Rig.id(), ""))).startsWith("HTTP/1.1 200");
+      assertThat(rig.request(Rig.dispatch(Rig.id(), ""))).startsWith("HTTP/1.1 200");
       for (int i = 0; i < silent.size(); i++) {
         if (isBegun(i)) {
           // Room is made for others, or its time is over: it is told so.
--- a/src/test/java/hazelspoke/node/BadHostsTest.java
+++ b/src/test/java/hazelspoke/node/BadHostsTest.java
@@ -19,7 +19,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    host = new FakeServer((head, out) -> FakeServer.answer(out, answer.get()));
+    host = new FakeServer((head, out) -> FakeServer.respond(out, answer.get()));
     discovery = Rig.discovery(Rig.list(2, host));
     rig = new Rig(160, discovery, host);
   }
@@ -48,7 +48,7 @@
       })
   void aSpoiltAnswerFailsAtOnceAndIsNotTriedAgain(String spoilt) throws Exception {
     answer.set(spoilt);
-    assertThat(rig.ask(Rig.dispatch(Rig.id(), ""))).startsWith("HTTP/1.1 502");
+    assertThat(rig.request(Rig.dispatch(Rig.id(), ""))).startsWith("HTTP/1.1 502");
     answer.set(FakeServer.ok("good"));
     assertThat(host.heads).hasSize(1);
   }
@@ -71,6 +71,6 @@
     answer.set(
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
             + FakeServer.ok("good"));
-    assertThat(rig.ask(Rig.dispatch(Rig.id(), ""))).endsWith("good");
+    assertThat(rig.request(Rig.dispatch(Rig.id(), ""))).endsWith("good");
   }
 }
--- a/src/test/java/hazelspoke/node/BulkTest.java
+++ b/src/test/java/hazelspoke/node/BulkTest.java
@@ -44,7 +44,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    reply.set((head, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+    reply.set((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
     host = new FakeServer((head, out) -> reply.get().to(head, out));
     discovery = Rig.discovery(Rig.list(2, host));
     rig = new Rig(160, discovery, host);
@@ -109,7 +109,7 @@
         }
       }
     }
-    assertThat(rig.figure("passed.dispatch")).isEqualTo(12);
+    assertThat(rig.metric("passed.dispatch")).isEqualTo(12);
   }
 
   @ParameterizedTest
@@ -241,12 +241,12 @@
     }
     Rig.await("its id is free again", () -> ask(Rig.dispatch(id, "")).contains(" 200 "));
     assertThat(host.heads).hasSize(1);
-    assertThat(rig.figure("in_progress")).isZero();
+    assertThat(rig.metric("in_progress")).isZero();
   }
 
   private String ask(String request) {
     try {
-      return rig.ask(request);
+      return rig.request(request);
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
--- a/src/test/java/hazelspoke/node/ChurnTest.java
+++ b/src/test/java/hazelspoke/node/ChurnTest.java
@@ -61,7 +61,7 @@
                   if (head.contains("X-Hold")) {
                     held.await();
                   }
-                  return FakeServer.answer(out, FakeServer.ok("late"));
+                  return FakeServer.respond(out, FakeServer.ok("late"));
                 });
         FakeServer discovery = Rig.discovery(Rig.list(2, host));
         Rig rig = new Rig(160, discovery, host);
@@ -71,7 +71,7 @@
       assertThat(Rig.receive(resting)).endsWith("late");
       Rig.send(taken, Rig.dispatch(Rig.id(), "X-Hold: 1\r\n"));
       Rig.await("the request at the host", () -> host.heads.size() == 2);
-      Thread leaving = new Thread(rig::leave);
+      Thread leaving = new Thread(rig::shutDown);
       leaving.start();
       Rig.await("the leave", () -> rig.log.toString().contains("taking leave"));
       // A client goes on using its connection for as long as that stays open.
--- a/src/test/java/hazelspoke/node/DeployedRunTest.java
+++ b/src/test/java/hazelspoke/node/DeployedRunTest.java
@@ -13,7 +13,7 @@
   void itIsOneProcessThatServesWithNeitherFileSocketsNorOtherPrograms(@TempDir Path folder)
       throws Exception {
     try (FakeServer host =
-            new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+            new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(2, host))) {
       try (ServeProcess gateway =
           ServeProcess.start(
--- a/src/test/java/hazelspoke/node/GoneClientsTest.java
+++ b/src/test/java/hazelspoke/node/DisconnectedClientsTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Requests whose clients leave while they wait: nothing is sent on for them, nothing is kept. */
-class GoneClientsTest {
+class DisconnectedClientsTest {
   /** How a client may leave. */
-  enum Leave {
+  enum Disconnection {
     CLOSE,
     HALF_CLOSE,
     RESET;
 
-    void of(Socket client) throws IOException {
+    void apply(Socket client) throws IOException {
       if (this == HALF_CLOSE) {
         client.shutdownOutput();
       } else {
@@ -30,22 +30,22 @@
   }
 
   private static FakeServer answering() throws IOException {
-    return new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+    return new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
   }
 
   /** Nothing of them is in hand, and the gateway serves on, with the next request alone. */
   private static void assertForgotten(Rig rig, FakeServer host) throws Exception {
     int asked = host.heads.size();
-    rig.turns();
-    assertThat(rig.figure("in_progress")).isZero();
-    assertThat(rig.ask(Rig.look(Rig.id(), ""))).contains(" 200 ");
+    rig.runLoopIterations();
+    assertThat(rig.metric("in_progress")).isZero();
+    assertThat(rig.request(Rig.look(Rig.id(), ""))).contains(" 200 ");
     assertThat(host.heads).hasSize(asked + 1);
   }
 
   /** Request and end lie in the kernel when the loop comes to read, and a connection is at hand. */
   @ParameterizedTest
   @EnumSource
-  void whileTheLoopStandsStill(Leave leave) throws Exception {
+  void whileTheLoopStandsStill(Disconnection disconnection) throws Exception {
     try (FakeServer host = answering();
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
@@ -53,18 +53,18 @@
         Socket fresh = rig.connect()) {
       Rig.send(client, Rig.look(Rig.id(), ""));
       assertThat(Rig.receive(client)).contains(" 200 ");
-      rig.settle();
+      rig.awaitReusableConnections();
       CountDownLatch goOn = new CountDownLatch(1);
-      rig.gateway.loop.execute(() -> Rig.hold(goOn));
+      rig.gateway.loop.execute(() -> Rig.awaitLatch(goOn));
       Rig.send(client, Rig.look(Rig.id(), ""));
-      leave.of(client);
+      disconnection.apply(client);
       Rig.send(fresh, Rig.look(Rig.id(), ""));
-      leave.of(fresh);
+      disconnection.apply(fresh);
       goOn.countDown();
-      rig.turns();
+      rig.runLoopIterations();
       assertThat(host.heads).hasSize(1);
-      assertThat(rig.figure("left.waiting")).isEqualTo(2);
-      assertThat(rig.figure("left.sent")).isZero();
+      assertThat(rig.metric("left.waiting")).isEqualTo(2);
+      assertThat(rig.metric("left.sent")).isZero();
       assertForgotten(rig, host);
     }
   }
@@ -72,9 +72,9 @@
   /** It waits with its end in the kernel until there is room for it. */
   @ParameterizedTest
   @EnumSource
-  void beforeItIsLetIn(Leave leave) throws Exception {
+  void beforeItIsLetIn(Disconnection disconnection) throws Exception {
     CountDownLatch goOn = new CountDownLatch(1);
-    try (FakeServer host = Rig.holdingHost("/dispatch/wait", goOn);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", goOn);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(60 + 56 + Operators.DESCRIPTORS, discovery, host)) {
       Socket[] first = new Socket[20];
@@ -86,14 +86,14 @@
       }
       try (Socket late = rig.connect()) {
         Rig.send(late, Rig.look(Rig.id(), ""));
-        leave.of(late);
-        rig.turns();
+        disconnection.apply(late);
+        rig.runLoopIterations();
         goOn.countDown();
         for (Socket socket : first) {
           assertThat(Rig.receive(socket)).contains(" 200 ");
           socket.close();
         }
-        rig.turns();
+        rig.runLoopIterations();
         assertThat(host.heads).hasSize(first.length);
         assertForgotten(rig, host);
       }
@@ -105,20 +105,20 @@
   /** The module holds it, as there is no host; one comes when the client has left. */
   @ParameterizedTest
   @EnumSource
-  void whileItIsHeld(Leave leave) throws Exception {
+  void whileItIsHeld(Disconnection disconnection) throws Exception {
     try (FakeServer host = answering();
-        LiveList discovery = new LiveList(Rig.list(1, true));
+        FakeDiscovery discovery = new FakeDiscovery(Rig.list(1, true));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
-      Rig.await("the list", () -> discovery.told() == 1);
+      Rig.await("the list", () -> discovery.watchesAnswered() == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
-      Rig.await("it is taken", () -> rig.figure("in_progress") == 1);
-      leave.of(client);
-      rig.turns();
-      assertThat(rig.figure("in_progress")).isZero();
-      discovery.tell(Rig.list(2, false, Rig.entry(host.address(), "Ready")));
-      Rig.await("the host is known", () -> rig.figure("known_hosts") == 1);
-      rig.turns();
+      Rig.await("it is taken", () -> rig.metric("in_progress") == 1);
+      disconnection.apply(client);
+      rig.runLoopIterations();
+      assertThat(rig.metric("in_progress")).isZero();
+      discovery.push(Rig.list(2, false, Rig.entry(host.address(), "Ready")));
+      Rig.await("the host is known", () -> rig.metric("known_hosts") == 1);
+      rig.runLoopIterations();
       assertThat(host.heads).isEmpty();
       assertForgotten(rig, host);
     }
@@ -127,21 +127,21 @@
   /** The list brings a host in the same turn in which the client's end is read. */
   @ParameterizedTest
   @EnumSource
-  void whileItIsHeldAndTheLoopStandsStill(Leave leave) throws Exception {
+  void whileItIsHeldAndTheLoopStandsStill(Disconnection disconnection) throws Exception {
     try (FakeServer host = answering();
-        LiveList discovery = new LiveList(Rig.list(1, true));
+        FakeDiscovery discovery = new FakeDiscovery(Rig.list(1, true));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
-      Rig.await("the list", () -> discovery.told() == 1);
+      Rig.await("the list", () -> discovery.watchesAnswered() == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
-      Rig.await("it is taken", () -> rig.figure("in_progress") == 1);
+      Rig.await("it is taken", () -> rig.metric("in_progress") == 1);
       CountDownLatch goOn = new CountDownLatch(1);
-      rig.gateway.loop.execute(() -> Rig.hold(goOn));
-      discovery.tell(Rig.list(2, false, Rig.entry(host.address(), "Ready")));
-      leave.of(client);
+      rig.gateway.loop.execute(() -> Rig.awaitLatch(goOn));
+      discovery.push(Rig.list(2, false, Rig.entry(host.address(), "Ready")));
+      disconnection.apply(client);
       goOn.countDown();
-      Rig.await("the host is known", () -> rig.figure("known_hosts") == 1);
-      rig.turns();
+      Rig.await("the host is known", () -> rig.metric("known_hosts") == 1);
+      rig.runLoopIterations();
       assertThat(host.heads).isEmpty();
       assertForgotten(rig, host);
     }
@@ -150,61 +150,63 @@
   /** Its connection to the host comes up once the client has left. */
   @ParameterizedTest
   @EnumSource
-  void whileItWaitsForAConnection(Leave leave) throws Exception {
+  void whileItWaitsForAConnection(Disconnection disconnection) throws Exception {
     try (LateListener late = new LateListener();
-        LiveList discovery = new LiveList(Rig.list(1, true, Rig.entry(late.address(), "Ready")));
+        FakeDiscovery discovery =
+            new FakeDiscovery(Rig.list(1, true, Rig.entry(late.address(), "Ready")));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
-      Rig.await("the list", () -> rig.figure("known_hosts") == 1);
+      Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
-      Rig.await("it is taken", () -> rig.figure("in_progress") == 1);
-      rig.turns();
-      leave.of(client);
-      rig.turns();
-      assertThat(rig.figure("in_progress")).isZero();
+      Rig.await("it is taken", () -> rig.metric("in_progress") == 1);
+      rig.runLoopIterations();
+      disconnection.apply(client);
+      rig.runLoopIterations();
+      assertThat(rig.metric("in_progress")).isZero();
       assertThat(late.letIn()).isZero();
-      assertThat(rig.figure("upstream_tries")).isZero();
+      assertThat(rig.metric("upstream_tries")).isZero();
     }
   }
 
   /** A failed attempt and the client's end are read in the same turn. */
   @ParameterizedTest
   @EnumSource
-  void betweenTwoAttempts(Leave leave) throws Exception {
+  void betweenTwoAttempts(Disconnection disconnection) throws Exception {
     CountDownLatch fail = new CountDownLatch(1);
     CountDownLatch failed = new CountDownLatch(1);
     try (FakeServer first =
             new FakeServer(
                 (head, out) -> {
-                  Rig.hold(fail);
-                  FakeServer.answer(out, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n");
+                  Rig.awaitLatch(fail);
+                  FakeServer.respond(out, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n");
                   failed.countDown();
                   return true;
                 });
         FakeServer second = answering();
-        LiveList discovery = new LiveList(Rig.list(1, true, Rig.entry(first.address(), "Ready")));
+        FakeDiscovery discovery =
+            new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), "Ready")));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
-      Rig.await("the list", () -> rig.figure("known_hosts") == 1);
+      Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
       Rig.await("the first has it", () -> first.heads.size() == 1);
-      discovery.tell(
+      discovery.push(
           Rig.list(
               2,
               true,
               Rig.entry(first.address(), "Terminating"),
               Rig.entry(second.address(), "Ready")));
-      Rig.await("both are known", () -> rig.figure("known_hosts") == 2);
+      Rig.await("both are known", () -> rig.metric("known_hosts") == 2);
       CountDownLatch goOn = new CountDownLatch(1);
-      rig.gateway.loop.execute(() -> Rig.hold(goOn));
+      rig.gateway.loop.execute(() -> Rig.awaitLatch(goOn));
       fail.countDown();
-      Rig.hold(failed);
-      leave.of(client);
+      Rig.awaitLatch(failed);
+      disconnection.apply(client);
       goOn.countDown();
-      rig.turns();
-      rig.turns();
+      rig.runLoopIterations();
+      rig.runLoopIterations();
       assertThat(second.heads).isEmpty();
-      assertThat(rig.figure("left.sent")).isEqualTo(1);
+      assertThat(rig.metric("left.sent")).isEqualTo(1);
       assertForgotten(rig, second);
     }
   }
@@ -216,18 +218,18 @@
     try (FakeServer host =
             new FakeServer(
                 (head, out) ->
-                    FakeServer.answer(
+                    FakeServer.respond(
                         out, head.contains("large") ? large : FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket client = rig.connect()) {
       Rig.send(client, Rig.look(Rig.id(), "").replace("/look ", "/look/large "));
-      Rig.await("its answer has begun", () -> rig.figure("passed.look") == 1);
+      Rig.await("its answer has begun", () -> rig.metric("passed.look") == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
-      rig.turns();
+      rig.runLoopIterations();
       client.setSoLinger(true, 0);
       client.close();
-      rig.turns();
+      rig.runLoopIterations();
       assertThat(host.heads).hasSize(1);
       assertForgotten(rig, host);
     }
@@ -236,7 +238,7 @@
   /** The rest of its body never comes: no host is left with a request that might run. */
   @ParameterizedTest
   @EnumSource
-  void inMidUpload(Leave leave) throws Exception {
+  void inMidUpload(Disconnection disconnection) throws Exception {
     try (FakeServer host = answering();
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
@@ -245,10 +247,10 @@
       Rig.send(client, Rig.dispatch(Rig.id(), "Content-Length: " + length + "\r\n"));
       Rig.send(client, "x".repeat(length / 2));
       Rig.await("it has begun at the host", () -> host.connections.get() == 1);
-      rig.turns();
-      leave.of(client);
-      Rig.await("it is over", () -> rig.figure("in_progress") == 0);
-      rig.turns();
+      rig.runLoopIterations();
+      disconnection.apply(client);
+      Rig.await("it is over", () -> rig.metric("in_progress") == 0);
+      rig.runLoopIterations();
       assertThat(host.heads).isEmpty();
       assertForgotten(rig, host);
     }
--- a/src/test/java/hazelspoke/node/DiscoveryTermsTest.java
+++ b/src/test/java/hazelspoke/node/DiscoveryTermsTest.java
@@ -38,7 +38,7 @@
               .replace("\"must_ask_in\":10000", "\"must_ask_in\":1200000");
 
   private final FakeServer host =
-      new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+      new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
   private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   private final FakeServer nobody = Rig.discovery(Rig.list(1));
   private final Rig rig = new Rig(160, nobody, ASKED);
@@ -82,7 +82,7 @@
 
   private void tellsAll(Socket call, int hosts) throws Exception {
     tell(call, Rig.list(hosts, true, Rig.entry(host.address(), READY)));
-    Rig.await("the list", () -> rig.figure("known_hosts") == 1);
+    Rig.await("the list", () -> rig.metric("known_hosts") == 1);
   }
 
   private static void reset(Socket call) throws SocketException {
@@ -152,7 +152,8 @@
         new DiscoveryClient(
             rig.gateway.loop,
             Transport.TCP,
-            new DiscoveryClient.Start(new InetSocketAddress("127.0.0.1", 1), false, NO_NAMES, 0),
+            new DiscoveryClient.InitialState(
+                new InetSocketAddress("127.0.0.1", 1), false, NO_NAMES, 0),
             new Clock(),
             new Log(new PrintStream(rig.log, true), new Clock()),
             update -> updates.incrementAndGet(),
@@ -211,7 +212,7 @@
     }
     // A whole list: what it leaves out is gone.
     tell(call(), Rig.list(5, true));
-    Rig.await("a list of none", () -> rig.figure("known_hosts") == 0);
+    Rig.await("a list of none", () -> rig.metric("known_hosts") == 0);
   }
 
   /**
@@ -280,7 +281,7 @@
     tellsAll(watch, 1);
     Socket again = call();
     tell(again, Rig.list(2, true));
-    Rig.await("a list of none", () -> rig.figure("known_hosts") == 0);
+    Rig.await("a list of none", () -> rig.metric("known_hosts") == 0);
     assertThat(isOpen(watch)).isFalse();
   }
 }
--- a/src/test/java/hazelspoke/node/EarlyShutdownTest.java
+++ b/src/test/java/hazelspoke/node/EarlyShutdownTest.java
@@ -26,7 +26,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    host = new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+    host = new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
     discovery = Rig.discovery(Rig.list(1, host));
     file = Files.createTempFile("gateway", ".json");
   }
@@ -65,7 +65,7 @@
             new PrintStream(log, true),
             Transport.TCP);
     CountDownLatch goOn = new CountDownLatch(1);
-    gateway.loop.execute(() -> Rig.hold(goOn));
+    gateway.loop.execute(() -> Rig.awaitLatch(goOn));
     Thread drain = new Thread(gateway::drain);
     drain.start();
     Rig.await("the leave waits for its turn", () -> drain.getState() == Thread.State.TIMED_WAITING);
--- a/src/test/java/hazelspoke/node/LiveList.java
+++ b/src/test/java/hazelspoke/node/FakeDiscovery.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A discovery whose watches a test goes on writing to, or that hears calls and says nothing. */
-final class LiveList implements AutoCloseable {
+final class FakeDiscovery implements AutoCloseable {
   final FakeServer server;
   private final List<OutputStream> watches = new CopyOnWriteArrayList<>();
   private final AtomicInteger told = new AtomicInteger();
@@ -16,7 +16,7 @@
   private volatile boolean silent;
   private volatile boolean closed;
 
-  LiveList(String list) throws IOException {
+  FakeDiscovery(String list) throws IOException {
     this.list = list;
     server = new FakeServer(this::call);
     Thread lines = new Thread(this::keepAlive);
@@ -30,7 +30,7 @@
       while (!closed) {
         Thread.sleep(500);
         if (!silent) {
-          tell("");
+          push("");
         }
       }
     } catch (InterruptedException e) {
@@ -40,7 +40,8 @@
 
   private synchronized boolean call(String head, OutputStream out) throws IOException {
     if (!silent) {
-      FakeServer.answer(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list));
+      FakeServer.respond(
+          out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list));
       watches.add(out);
       told.incrementAndGet();
     }
@@ -53,26 +54,26 @@
   }
 
   /** How many watches were told the list at their beginning. */
-  int told() {
+  int watchesAnswered() {
     return told.get();
   }
 
   /** From now on calls are taken and not answered; or they are again. */
-  void silent(boolean on) {
+  void setUnresponsive(boolean on) {
     silent = on;
   }
 
   /** What new watches are told first; those so far stay open and hear nothing any more. */
-  synchronized void becomes(String next) {
+  synchronized void replaceList(String next) {
     list = next;
     watches.clear();
   }
 
   /** Writes a line to whoever watches still. */
-  synchronized void tell(String line) {
+  synchronized void push(String line) {
     for (OutputStream watch : watches) {
       try {
-        FakeServer.answer(watch, chunk(line));
+        FakeServer.respond(watch, chunk(line));
       } catch (IOException e) {
         // That one watches no more.
       }
--- a/src/test/java/hazelspoke/node/FakeServer.java
+++ b/src/test/java/hazelspoke/node/FakeServer.java
@@ -38,7 +38,7 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  static boolean answer(OutputStream out, String text) throws IOException {
+  static boolean respond(OutputStream out, String text) throws IOException {
     out.write(text.getBytes(StandardCharsets.ISO_8859_1));
     out.flush();
     return true;
@@ -112,8 +112,8 @@
   /** Reads the body that belongs to a head, in either framing; fails when it ends too soon. */
   static byte[] body(InputStream in, String head) throws IOException {
     if (!head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked")) {
-      byte[] body = in.readNBytes(length(head));
-      if (body.length < length(head)) {
+      byte[] body = in.readNBytes(contentLength(head));
+      if (body.length < contentLength(head)) {
         throw new EOFException();
       }
       return body;
@@ -144,7 +144,7 @@
     return text.toString().trim();
   }
 
-  static int length(String head) {
+  static int contentLength(String head) {
     for (String line : head.split("\r\n")) {
       if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
         return Integer.parseInt(line.substring(line.indexOf(':') + 1).trim());
--- a/src/test/java/hazelspoke/node/FirstListTest.java
+++ b/src/test/java/hazelspoke/node/FirstListTest.java
@@ -31,13 +31,13 @@
 
   @BeforeEach
   void start() throws Exception {
-    oldHost = new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("old")));
-    newHost = new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("new")));
+    oldHost = new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("old")));
+    newHost = new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("new")));
     agent =
         new FakeServer(
             (head, out) -> {
-              Rig.hold(agentSpeaks);
-              return FakeServer.answer(out, chunked(told));
+              Rig.awaitLatch(agentSpeaks);
+              return FakeServer.respond(out, chunked(told));
             });
     file = Files.createTempFile("gateway", ".json");
     Files.writeString(
--- a/src/test/java/hazelspoke/node/LastByteGateTest.java
+++ b/src/test/java/hazelspoke/node/LastByteGateTest.java
@@ -25,36 +25,36 @@
 
   @ParameterizedTest
   @EnumSource
-  void theLastByteOfARequestWhoseClientHasLeftIsNotSent(GoneClientsTest.Leave leave)
-      throws Exception {
+  void theLastByteOfARequestWhoseClientHasLeftIsNotSent(
+      DisconnectedClientsTest.Disconnection disconnection) throws Exception {
     CountDownLatch goOn = new CountDownLatch(1);
     try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         FakeServer discovery = Rig.discovery(Rig.list(1, true, entry(listener)));
         Rig rig = new Rig(160, discovery);
         Socket client = rig.connect()) {
-      Rig.await("the host is known", () -> rig.figure("known_hosts") == 1);
+      Rig.await("the host is known", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, dispatch());
       try (Socket host = listener.accept()) {
         host.setSoTimeout(Rig.PATIENCE_MS);
         InputStream in = host.getInputStream();
         assertThat(new String(FakeServer.body(in, FakeServer.head(in)), StandardCharsets.US_ASCII))
             .isEqualTo(BODY);
-        FakeServer.answer(host.getOutputStream(), FakeServer.ok("done"));
+        FakeServer.respond(host.getOutputStream(), FakeServer.ok("done"));
         assertThat(Rig.receive(client)).endsWith("done");
-        rig.settle();
+        rig.awaitReusableConnections();
 
         CountDownLatch standing = new CountDownLatch(1);
         rig.gateway.loop.execute(() -> standStillOnceBytesHaveCome(rig, in, standing, goOn));
         Rig.send(client, dispatch());
-        Rig.hold(standing);
-        leave.of(client);
+        Rig.awaitLatch(standing);
+        disconnection.apply(client);
         goOn.countDown();
 
         String head = FakeServer.head(in);
         assertThat(head).startsWith("POST /dispatch");
         assertThat(rest(in)).isEqualTo(BODY_BUT_ITS_LAST_BYTE);
-        assertThat(rig.figure("left.sent")).isZero();
-        assertThat(rig.figure("left.waiting")).isEqualTo(1);
+        assertThat(rig.metric("left.sent")).isZero();
+        assertThat(rig.metric("left.waiting")).isEqualTo(1);
       }
     } finally {
       goOn.countDown();
@@ -71,7 +71,7 @@
     try {
       if (in.available() > 0) {
         standing.countDown();
-        Rig.hold(goOn);
+        Rig.awaitLatch(goOn);
       } else {
         Runnable again = () -> standStillOnceBytesHaveCome(rig, in, standing, goOn);
         rig.gateway.loop.schedule(again, 1, TimeUnit.MILLISECONDS);
--- a/src/test/java/hazelspoke/node/LeakTest.java
+++ b/src/test/java/hazelspoke/node/LeakTest.java
@@ -23,21 +23,21 @@
             new FakeServer(
                 (head, out) -> {
                   boolean bad = head.contains("bad-");
-                  FakeServer.answer(out, bad ? BROKEN : FakeServer.ok(body));
+                  FakeServer.respond(out, bad ? BROKEN : FakeServer.ok(body));
                   return !bad;
                 });
         FakeServer discovery = Rig.discovery(Rig.list(2, host));
         Rig rig = new Rig(160, discovery, host)) {
       assertThat(ResourceLeakDetector.getLevel()).isEqualTo(ResourceLeakDetector.Level.PARANOID);
       for (int i = 0; i < ROUNDS; i++) {
-        answers.add(rig.ask(Rig.dispatch(Rig.id(), "")));
-        answers.add(rig.ask("NONSENSE\r\n\r\n"));
+        answers.add(rig.request(Rig.dispatch(Rig.id(), "")));
+        answers.add(rig.request("NONSENSE\r\n\r\n"));
         leave(rig, Rig.dispatch(Rig.id(), ""));
         leave(rig, Rig.dispatch(Rig.id(), "Content-Length: 50\r\n") + "half");
         leave(rig, "POST /dispatch HT");
       }
       // Once and last: a host that breaks off is passed over for some time.
-      answers.add(rig.ask(Rig.dispatch("bad-1", "")));
+      answers.add(rig.request(Rig.dispatch("bad-1", "")));
     }
     assertThat(answers).anyMatch(answer -> answer != null && answer.endsWith(body));
     assertThat(answers).anyMatch(answer -> answer != null && answer.startsWith("HTTP/1.1 502"));
--- a/src/test/java/hazelspoke/node/LeaveTest.java
+++ b/src/test/java/hazelspoke/node/LeaveTest.java
@@ -26,7 +26,7 @@
   void whoWaitsToBeLetInWhenTheListenerClosesIsAnswered() throws Exception {
     CountDownLatch goOn = new CountDownLatch(1);
     List<Socket> sockets = new ArrayList<>();
-    try (FakeServer host = Rig.holdingHost("/dispatch/wait", goOn);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", goOn);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(SOCKETS, discovery, host)) {
       for (int i = 0; i < ALL; i++) {
@@ -36,9 +36,9 @@
         int taken = Math.min(i + 1, LET_IN);
         Rig.await("in hand", () -> host.heads.size() == taken);
       }
-      rig.turns();
-      assertThat(rig.figure("in_progress")).isEqualTo(LET_IN);
-      Thread leaving = rig.beginToLeave();
+      rig.runLoopIterations();
+      assertThat(rig.metric("in_progress")).isEqualTo(LET_IN);
+      Thread leaving = rig.beginShutdown();
       goOn.countDown();
       for (Socket socket : sockets) {
         // Some are let in that find no socket to a host, and are refused.
@@ -60,12 +60,12 @@
   @Test
   void aRequestThatLiesUnreadAtTheMomentOfTheLeaveIsServed() throws Exception {
     try (FakeServer host =
-            new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+            new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket client = rig.connect()) {
-      rig.turns();
-      Thread leaving = new Thread(rig::leave);
+      rig.runLoopIterations();
+      Thread leaving = new Thread(rig::shutDown);
       leaving.start();
       Rig.await("told to leave", () -> rig.log.toString().contains("taking leave"));
       CountDownLatch read = new CountDownLatch(1);
@@ -74,7 +74,7 @@
       rig.gateway.loop.schedule(
           () -> {
             read.countDown();
-            Rig.hold(written);
+            Rig.awaitLatch(written);
           },
           100,
           TimeUnit.MILLISECONDS);
@@ -87,7 +87,7 @@
               Thread.currentThread().interrupt();
             }
           });
-      Rig.hold(read);
+      Rig.awaitLatch(read);
       Rig.send(client, Rig.dispatch(Rig.id(), ""));
       written.countDown();
       assertThat(Rig.receive(client)).contains(" 200 ").containsIgnoringCase("connection: close");
@@ -99,7 +99,7 @@
   @Test
   void whatCannotBeAnsweredBeforeTheEndIsAnsweredAsFailed() throws Exception {
     CountDownLatch never = new CountDownLatch(1);
-    try (FakeServer host = Rig.holdingHost("/dispatch/wait", never);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", never);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig =
             new Rig(
@@ -109,8 +109,8 @@
                 host);
         Socket client = rig.connect()) {
       Rig.send(client, waits().replace("\r\n\r\n", "\r\nContent-Length: 2\r\n\r\n1"));
-      rig.turns();
-      Thread leaving = rig.beginToLeave();
+      rig.runLoopIterations();
+      Thread leaving = rig.beginShutdown();
       Rig.send(client, "2");
       assertThat(Rig.receive(client)).matches("(?s)HTTP/1.1 50[24] .*");
       leaving.join();
@@ -123,7 +123,7 @@
   @Test
   void deadlinesOfMoreThanThreeSecondsAreNotWaitedFor() throws Exception {
     CountDownLatch never = new CountDownLatch(1);
-    try (FakeServer host = Rig.holdingHost("/dispatch/wait", never);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", never);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket client = rig.connect()) {
@@ -132,7 +132,7 @@
       Rig.await("the host has it", () -> host.heads.size() == 1);
       // The host answers never, and the client's time is 20 s.
       long begin = System.nanoTime();
-      rig.leave();
+      rig.shutDown();
       assertThat(System.nanoTime() - begin).isLessThan(TimeUnit.SECONDS.toNanos(15));
       assertThat(Rig.receive(client)).matches("(?s)HTTP/1.1 50[24] .*");
     } finally {
@@ -144,7 +144,7 @@
   @Test
   void aClientThatNeverSpeaksDoesNotHoldTheLeaveUp() throws Exception {
     try (FakeServer host =
-            new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+            new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket silent = rig.connect();
@@ -152,7 +152,7 @@
       Rig.send(resting, Rig.dispatch(Rig.id(), ""));
       assertThat(Rig.receive(resting)).contains(" 200 ");
       long begin = System.nanoTime();
-      rig.leave();
+      rig.shutDown();
       // Its longest deadline is 20 s; whoever rests here never says good-bye.
       assertThat(System.nanoTime() - begin).isLessThan(TimeUnit.SECONDS.toNanos(10));
       assertThat(resting.getInputStream().read()).isEqualTo(-1);
--- a/src/test/java/hazelspoke/node/ListEndingsTest.java
+++ b/src/test/java/hazelspoke/node/ListEndingsTest.java
@@ -15,13 +15,13 @@
   private static FakeServer failing(CountDownLatch until) throws Exception {
     return new FakeServer(
         (head, out) -> {
-          Rig.hold(until);
-          return FakeServer.answer(out, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n");
+          Rig.awaitLatch(until);
+          return FakeServer.respond(out, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n");
         });
   }
 
   private static FakeServer answering(String text) throws Exception {
-    return new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok(text)));
+    return new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok(text)));
   }
 
   /** The second try comes after the leave began, when its host has begun to drain. */
@@ -30,22 +30,23 @@
     CountDownLatch fail = new CountDownLatch(1);
     try (FakeServer first = failing(fail);
         FakeServer second = answering("second");
-        LiveList discovery = new LiveList(Rig.list(1, true, Rig.entry(first.address(), READY)));
+        FakeDiscovery discovery =
+            new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), READY)));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
-      Rig.await("the list", () -> rig.figure("known_hosts") == 1);
+      Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
       Rig.await("the first has it", () -> first.heads.size() == 1);
-      discovery.tell(Rig.list(2, false, Rig.entry(second.address(), READY)));
-      Rig.await("the second is known", () -> rig.figure("known_hosts") == 2);
-      Thread leaving = rig.beginToLeave();
-      discovery.tell(Rig.list(3, false, Rig.entry(second.address(), DRAINING)));
-      rig.turns();
+      discovery.push(Rig.list(2, false, Rig.entry(second.address(), READY)));
+      Rig.await("the second is known", () -> rig.metric("known_hosts") == 2);
+      Thread leaving = rig.beginShutdown();
+      discovery.push(Rig.list(3, false, Rig.entry(second.address(), DRAINING)));
+      rig.runLoopIterations();
       fail.countDown();
-      rig.turns();
-      rig.turns();
+      rig.runLoopIterations();
+      rig.runLoopIterations();
       assertThat(second.heads).isEmpty();
-      discovery.tell(Rig.list(4, false, Rig.entry(second.address(), READY)));
+      discovery.push(Rig.list(4, false, Rig.entry(second.address(), READY)));
       assertThat(Rig.receive(client)).contains(" 200 ").endsWith("second");
       leaving.join();
     }
@@ -56,18 +57,20 @@
     CountDownLatch fail = new CountDownLatch(1);
     try (FakeServer first = failing(fail);
         FakeServer second = answering("second");
-        LiveList before = new LiveList(Rig.list(1, true, Rig.entry(first.address(), READY)));
-        LiveList after = new LiveList(Rig.list(1, true, Rig.entry(second.address(), READY)));
+        FakeDiscovery before =
+            new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), READY)));
+        FakeDiscovery after =
+            new FakeDiscovery(Rig.list(1, true, Rig.entry(second.address(), READY)));
         Rig rig = new Rig(160, before.server);
         Socket client = rig.connect()) {
-      Rig.await("the list", () -> rig.figure("known_hosts") == 1);
+      Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
       Rig.await("the first has it", () -> first.heads.size() == 1);
-      Thread leaving = rig.beginToLeave();
+      Thread leaving = rig.beginShutdown();
       rig.configure(rig.config(160, after.address()));
       rig.gateway.reload(rig.environment);
-      Rig.await("a watch at the new address", () -> after.told() == 1);
-      rig.turns();
+      Rig.await("a watch at the new address", () -> after.watchesAnswered() == 1);
+      rig.runLoopIterations();
       fail.countDown();
       assertThat(Rig.receive(client)).contains(" 200 ").endsWith("second");
       leaving.join();
@@ -79,14 +82,15 @@
   void whatWaitsForAConnectionToAHostThatBeginsToDrainGoesElsewhere() throws Exception {
     try (LateListener late = new LateListener();
         FakeServer other = answering("other");
-        LiveList discovery = new LiveList(Rig.list(1, true, Rig.entry(late.address(), READY)));
+        FakeDiscovery discovery =
+            new FakeDiscovery(Rig.list(1, true, Rig.entry(late.address(), READY)));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
-      Rig.await("the list", () -> rig.figure("known_hosts") == 1);
+      Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, Rig.dispatch(Rig.id(), ""));
-      Rig.await("it is taken", () -> rig.figure("in_progress") == 1);
-      rig.turns();
-      discovery.tell(
+      Rig.await("it is taken", () -> rig.metric("in_progress") == 1);
+      rig.runLoopIterations();
+      discovery.push(
           Rig.list(
               2, false, Rig.entry(other.address(), READY), Rig.entry(late.address(), DRAINING)));
       assertThat(Rig.receive(client)).contains(" 200 ").endsWith("other");
@@ -99,29 +103,30 @@
   void anAgentThatWasSilentIsHeardWhereverItSpeaksAgain() throws Exception {
     try (FakeServer first = answering("first");
         FakeServer second = answering("second");
-        LiveList discovery = new LiveList(Rig.list(1, true, Rig.entry(first.address(), READY)));
+        FakeDiscovery discovery =
+            new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), READY)));
         Rig rig = new Rig(160, discovery.server)) {
-      Rig.await("the list", () -> rig.figure("known_hosts") == 1);
-      discovery.silent(true);
+      Rig.await("the list", () -> rig.metric("known_hosts") == 1);
+      discovery.setUnresponsive(true);
       Rig.await("others beside the silent watch", () -> discovery.server.heads.size() >= 8);
       // Silence takes nothing away, and the watch that fell silent is there still.
       assertThat(served(rig)).endsWith("first");
-      assertThat(discovery.told()).isEqualTo(1);
-      discovery.tell(Rig.list(2, true, Rig.entry(second.address(), READY)));
+      assertThat(discovery.watchesAnswered()).isEqualTo(1);
+      discovery.push(Rig.list(2, true, Rig.entry(second.address(), READY)));
       Rig.await("the new list", () -> served(rig).endsWith("second"));
       int calls = discovery.server.heads.size();
       Rig.await("others beside it again", () -> discovery.server.heads.size() >= calls + 2);
-      discovery.becomes(Rig.list(3, true, Rig.entry(first.address(), READY)));
-      discovery.silent(false);
+      discovery.replaceList(Rig.list(3, true, Rig.entry(first.address(), READY)));
+      discovery.setUnresponsive(false);
       Rig.await("told on a new watch", () -> served(rig).endsWith("first"));
-      discovery.tell(Rig.list(4, true, Rig.entry(second.address(), READY)));
+      discovery.push(Rig.list(4, true, Rig.entry(second.address(), READY)));
       Rig.await("which took its place", () -> served(rig).endsWith("second"));
     }
   }
 
   private static String served(Rig rig) {
     try {
-      return rig.ask(Rig.look(Rig.id(), ""));
+      return rig.request(Rig.look(Rig.id(), ""));
     } catch (java.io.IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
@@ -136,14 +141,15 @@
     try (FakeServer first = answering("first");
         FakeServer second = answering("second");
         FakeServer nobody = Rig.discovery(Rig.list(1));
-        LiveList discovery = new LiveList(Rig.list(1, true, Rig.entry(first.address(), READY)));
+        FakeDiscovery discovery =
+            new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), READY)));
         Rig rig = new Rig(160, nobody, ListEndingsTest::asked)) {
       // The first call of a start is spread over those minutes; a new configuration calls at once.
       rig.configure(asked(rig.config(160, discovery.address())));
       rig.gateway.reload(rig.environment);
-      Rig.await("the list", () -> rig.figure("known_hosts") == 1);
-      discovery.becomes(Rig.list(2, true, Rig.entry(second.address(), READY)));
-      Rig.await("another watch", () -> discovery.told() == 2);
+      Rig.await("the list", () -> rig.metric("known_hosts") == 1);
+      discovery.replaceList(Rig.list(2, true, Rig.entry(second.address(), READY)));
+      Rig.await("another watch", () -> discovery.watchesAnswered() == 2);
       Rig.await("the new list", () -> served(rig).endsWith("second"));
     }
   }
@@ -162,7 +168,7 @@
             new FakeServer(
                 (head, out) -> {
                   String list = Rig.list(1, true, Rig.entry(first.address(), READY)) + "\n";
-                  FakeServer.answer(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                  FakeServer.respond(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                   chunk(out, list);
                   chunk(out, "{\"index\":2,");
                   while (true) {
@@ -172,11 +178,11 @@
                 });
         Rig rig = new Rig(160, discovery)) {
       Rig.await("another watch", () -> discovery.heads.size() >= 2);
-      assertThat(rig.ask(Rig.look(Rig.id(), ""))).endsWith("first");
+      assertThat(rig.request(Rig.look(Rig.id(), ""))).endsWith("first");
     }
   }
 
   private static void chunk(java.io.OutputStream out, String text) throws java.io.IOException {
-    FakeServer.answer(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    FakeServer.respond(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 }
--- a/src/test/java/hazelspoke/node/LongTurnsTest.java
+++ b/src/test/java/hazelspoke/node/LongTurnsTest.java
@@ -69,25 +69,25 @@
   })
   void nothingIsSentForAClientThatHasLeft(String requestClass, int turns) throws Exception {
     try (FakeServer host =
-            new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+            new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket client = rig.connect()) {
       Rig.send(client, Rig.dispatch(Rig.id(), ""));
       assertThat(Rig.receive(client)).contains(" 200 ");
-      rig.settle();
+      rig.awaitReusableConnections();
       try (SteppedLoop loop = new SteppedLoop(rig.gateway.loop)) {
         boolean look = requestClass.equals("look");
         Rig.send(client, look ? Rig.look(Rig.id(), "") : Rig.dispatch(Rig.id(), ""));
         for (int i = 0; i < turns; i++) {
           loop.turn();
         }
-        long sent = rig.figure("upstream_tries");
+        long sent = rig.metric("upstream_tries");
         client.close();
         for (int i = turns; i < ALL_TURNS; i++) {
           loop.turn();
         }
-        assertThat(rig.figure("upstream_tries")).isEqualTo(sent);
+        assertThat(rig.metric("upstream_tries")).isEqualTo(sent);
       }
     }
   }
--- a/src/test/java/hazelspoke/node/LoopLagTest.java
+++ b/src/test/java/hazelspoke/node/LoopLagTest.java
@@ -14,7 +14,7 @@
   @Test
   void whatLayUnreadUntilItsTimeWasUpIsRefusedAtOnceAndNoHostHearsOfIt() throws Exception {
     try (FakeServer host =
-            new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("good")));
+            new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("good")));
         FakeServer discovery = Rig.discovery(Rig.list(2, host));
         Rig rig = new Rig(160, discovery, host);
         Socket client = rig.connect()) {
--- a/src/test/java/hazelspoke/node/OperationsTest.java
+++ b/src/test/java/hazelspoke/node/OperationsTest.java
@@ -24,36 +24,36 @@
           if (head.contains("/dispatch/wait")) {
             goOn.await();
           }
-          return FakeServer.answer(out, head.contains("/dispatch/err") ? ERROR : OK);
+          return FakeServer.respond(out, head.contains("/dispatch/err") ? ERROR : OK);
         };
     try (FakeServer host = new FakeServer(reply);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host)) {
-      assertThat(rig.operate("GET /_ready")).startsWith("200");
-      assertThat(rig.operate("GET /_vars")).contains("svc.passed.look=0\n", "svc.loads=0\n");
+      assertThat(rig.callOperators("GET /_ready")).startsWith("200");
+      assertThat(rig.callOperators("GET /_vars")).contains("svc.passed.look=0\n", "svc.loads=0\n");
       for (int i = 0; i < 3; i++) {
-        assertThat(rig.ask(Rig.dispatch(Rig.id(), ""))).contains("200");
+        assertThat(rig.request(Rig.dispatch(Rig.id(), ""))).contains("200");
       }
       String err = Rig.dispatch(Rig.id(), "").replace("/dispatch ", "/dispatch/err ");
-      assertThat(rig.ask(err)).contains(" 502 ");
+      assertThat(rig.request(err)).contains(" 502 ");
       try (Socket waiting = rig.connect();
           Socket leaving = rig.connect()) {
         Rig.send(waiting, waits());
         Rig.send(leaving, waits());
         Rig.await("both at the host", () -> host.heads.size() == 6);
-        assertThat(rig.figure("in_progress")).isEqualTo(2);
+        assertThat(rig.metric("in_progress")).isEqualTo(2);
         leaving.close();
-        Rig.await("one gone", () -> rig.figure("in_progress") == 1);
+        Rig.await("one gone", () -> rig.metric("in_progress") == 1);
         goOn.countDown();
         assertThat(Rig.receive(waiting)).contains("200");
       }
-      assertThat(rig.figure("in_progress")).isZero();
-      assertThat(rig.figure("passed.dispatch")).isEqualTo(4);
-      assertThat(rig.figure("bad_gateway.dispatch")).isEqualTo(1);
-      assertThat(rig.figure("dropped.dispatch")).isZero();
-      assertThat(rig.figure("upstream_tries")).isEqualTo(6);
-      Rig.await("the host is counted", () -> rig.figure("known_hosts") == 1);
-      assertThat(rig.figure("skipped_hosts")).isZero();
+      assertThat(rig.metric("in_progress")).isZero();
+      assertThat(rig.metric("passed.dispatch")).isEqualTo(4);
+      assertThat(rig.metric("bad_gateway.dispatch")).isEqualTo(1);
+      assertThat(rig.metric("dropped.dispatch")).isZero();
+      assertThat(rig.metric("upstream_tries")).isEqualTo(6);
+      Rig.await("the host is counted", () -> rig.metric("known_hosts") == 1);
+      assertThat(rig.metric("skipped_hosts")).isZero();
     }
   }
 
@@ -61,16 +61,16 @@
   @Test
   void anAnswerThatItsClientTakesLateIsCountedWithTheReason() throws Exception {
     String large = FakeServer.ok("x".repeat(16 << 20));
-    try (FakeServer host = new FakeServer((head, out) -> FakeServer.answer(out, large));
+    try (FakeServer host = new FakeServer((head, out) -> FakeServer.respond(out, large));
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket slow = rig.connect()) {
       Rig.send(slow, Rig.dispatch(Rig.id(), "").replace("20.0", "0.5"));
-      Rig.await("its answer has begun", () -> rig.figure("passed.dispatch") == 1);
+      Rig.await("its answer has begun", () -> rig.metric("passed.dispatch") == 1);
       Thread.sleep(700);
       assertThat(Rig.receive(slow)).contains(" 200 ");
-      Rig.await("it is counted", () -> rig.figure("late.unread") == 1);
-      assertThat(rig.figure("late.unexplained") + rig.figure("late.left_open")).isZero();
+      Rig.await("it is counted", () -> rig.metric("late.unread") == 1);
+      assertThat(rig.metric("late.unexplained") + rig.metric("late.left_open")).isZero();
       assertThat(rig.log.toString()).contains("did not take it");
     }
   }
@@ -87,16 +87,16 @@
       host.close();
       // A thread that still accepts there keeps the listener for a moment.
       Rig.await("nobody listens", () -> FakeServer.refuses(host.address()));
-      String none = rig.ask(Rig.dispatch(Rig.id(), "").replace("20.0", "0.2"));
+      String none = rig.request(Rig.dispatch(Rig.id(), "").replace("20.0", "0.2"));
       assertThat(none).contains(" 503 ");
-      assertThat(rig.figure("dropped.dispatch")).isEqualTo(1);
-      assertThat(rig.figure("upstream_tries")).isZero();
+      assertThat(rig.metric("dropped.dispatch")).isEqualTo(1);
+      assertThat(rig.metric("upstream_tries")).isZero();
     }
   }
 
   @Test
   void aDrainSaysNoSendsClientsAwayAndEndsWithoutALoss() throws Exception {
-    try (FakeServer host = new FakeServer((head, out) -> FakeServer.answer(out, OK));
+    try (FakeServer host = new FakeServer((head, out) -> FakeServer.respond(out, OK));
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket health = rig.connect();
@@ -110,21 +110,21 @@
         Rig.send(health, HEALTH);
         assertThat(Rig.receive(health)).contains(" 200 ").doesNotContain("close");
       }
-      assertThat(rig.operate("POST /_lameduck/on")).startsWith("200");
-      assertThat(rig.ask(HEALTH)).contains(" 503 ");
+      assertThat(rig.callOperators("POST /_lameduck/on")).startsWith("200");
+      assertThat(rig.request(HEALTH)).contains(" 503 ");
       Rig.send(busy, Rig.dispatch(Rig.id(), ""));
       assertThat(Rig.receive(busy)).contains("200").containsIgnoringCase("connection: close");
       assertThat(busy.getInputStream().read()).isEqualTo(-1);
       // Who rests is let go without having asked; who still comes is served.
       assertThat(resting.getInputStream().read()).isEqualTo(-1);
-      assertThat(rig.ask(Rig.dispatch(Rig.id(), ""))).contains("200");
-      assertThat(rig.operate("POST /_lameduck/off")).startsWith("200");
-      assertThat(rig.ask(HEALTH)).contains(" 200 ");
+      assertThat(rig.request(Rig.dispatch(Rig.id(), ""))).contains("200");
+      assertThat(rig.callOperators("POST /_lameduck/off")).startsWith("200");
+      assertThat(rig.request(HEALTH)).contains(" 200 ");
       try (Socket again = rig.connect()) {
         Rig.send(again, Rig.dispatch(Rig.id(), ""));
         assertThat(Rig.receive(again)).contains("200").doesNotContain("close");
       }
-      assertThat(rig.figure("passed.dispatch")).isEqualTo(5);
+      assertThat(rig.metric("passed.dispatch")).isEqualTo(5);
     }
   }
 
@@ -134,14 +134,14 @@
     List<Socket> silent = new ArrayList<>();
     try (FakeServer discovery = Rig.discovery(Rig.list(1));
         Rig rig = new Rig(160, discovery)) {
-      rig.gateway.loop.execute(() -> Rig.hold(goOn));
+      rig.gateway.loop.execute(() -> Rig.awaitLatch(goOn));
       for (int i = 0; i < 200; i++) {
         silent.add(new Socket(rig.operators.getAddress(), rig.operators.getPort()));
       }
-      assertThat(rig.operate("GET /_ready")).startsWith("200");
-      assertThat(rig.operate("GET /_vars")).contains("svc.in_progress=0");
-      assertThat(rig.operate("GET /_nothing")).startsWith("404");
-      assertThat(rig.operate("GET /_lameduck/on")).startsWith("405");
+      assertThat(rig.callOperators("GET /_ready")).startsWith("200");
+      assertThat(rig.callOperators("GET /_vars")).contains("svc.in_progress=0");
+      assertThat(rig.callOperators("GET /_nothing")).startsWith("404");
+      assertThat(rig.callOperators("GET /_lameduck/on")).startsWith("405");
       try (Socket socket = new Socket(rig.operators.getAddress(), rig.operators.getPort())) {
         socket.setSoTimeout(Rig.PATIENCE_MS);
         Rig.send(socket, "\0\1\2 what\r\n\r\n");
--- a/src/test/java/hazelspoke/node/ReloadTest.java
+++ b/src/test/java/hazelspoke/node/ReloadTest.java
@@ -17,8 +17,10 @@
 class ReloadTest {
   @Test
   void discoveryMovesAndBrokenFilesChangeNothing() throws Exception {
-    try (FakeServer first = new FakeServer((h, out) -> FakeServer.answer(out, FakeServer.ok("1")));
-        FakeServer second = new FakeServer((h, out) -> FakeServer.answer(out, FakeServer.ok("2")));
+    try (FakeServer first =
+            new FakeServer((h, out) -> FakeServer.respond(out, FakeServer.ok("1")));
+        FakeServer second =
+            new FakeServer((h, out) -> FakeServer.respond(out, FakeServer.ok("2")));
         FakeServer before = Rig.discovery(Rig.list(7, first));
         FakeServer after = Rig.discovery(Rig.list(3, second));
         Rig rig = new Rig(160, before, first)) {
@@ -29,7 +31,7 @@
       }
       Files.delete(rig.file);
       rig.gateway.reload(rig.environment);
-      assertThat(rig.ask(Rig.dispatch(Rig.id(), ""))).endsWith("1");
+      assertThat(rig.request(Rig.dispatch(Rig.id(), ""))).endsWith("1");
       assertThat(after.heads).isEmpty();
       rig.configure(rig.config(160, after.address()));
       rig.gateway.reload(rig.environment);
@@ -51,11 +53,11 @@
   @Test
   void classesComeAndGoWhileRequestsOfTheOldOnesAreOpen() throws Exception {
     CountDownLatch goOn = new CountDownLatch(1);
-    try (FakeServer host = Rig.holdingHost("/dispatch/wait", goOn);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", goOn);
         FakeServer discovery = Rig.discovery(Rig.list(7, host));
         Rig rig = new Rig(160, discovery, host);
         Socket waiting = rig.connect()) {
-      assertThat(rig.ask(post("haul", ""))).contains(" 404 ");
+      assertThat(rig.request(post("haul", ""))).contains(" 404 ");
       Rig.send(waiting, post("dispatch", "").replace("/dispatch ", "/dispatch/wait "));
       Rig.await("the host has it", () -> !host.heads.isEmpty());
       String before = rig.config(160, discovery.address());
@@ -66,30 +68,30 @@
               .replace("\"repeatable\"", "\"by_key\"")
               .replace("\"send_cap\":5", "\"send_cap\":2"));
       rig.gateway.reload(rig.environment);
-      Rig.await("the file is taken", () -> rig.figure("loads") == 1);
-      assertThat(rig.ask(post("haul", ""))).contains(" 200 ");
-      assertThat(rig.ask(post("look", "Idempotency-Key: k1\r\n"))).contains(" 200 ");
+      Rig.await("the file is taken", () -> rig.metric("loads") == 1);
+      assertThat(rig.request(post("haul", ""))).contains(" 200 ");
+      assertThat(rig.request(post("look", "Idempotency-Key: k1\r\n"))).contains(" 200 ");
       // Who has not heard yet is served as before, and then no more.
-      assertThat(rig.ask(post("dispatch", ""))).contains(" 200 ");
+      assertThat(rig.request(post("dispatch", ""))).contains(" 200 ");
       String look = post("look", "").replace("POST", "GET");
-      assertThat(rig.ask(look)).contains(" 200 ");
+      assertThat(rig.request(look)).contains(" 200 ");
       Rig.await("dispatch is gone", () -> ask(rig, post("dispatch", "")).contains(" 404 "));
-      assertThat(rig.ask(post("look", "").replace("POST", "GET"))).contains(" 405 ");
+      assertThat(rig.request(post("look", "").replace("POST", "GET"))).contains(" 405 ");
       goOn.countDown();
       assertThat(Rig.receive(waiting)).contains(" 200 ");
-      assertThat(rig.figure("passed.haul")).isEqualTo(1);
-      assertThat(rig.figure("in_progress")).isZero();
+      assertThat(rig.metric("passed.haul")).isEqualTo(1);
+      assertThat(rig.metric("in_progress")).isZero();
       rig.configure(before);
       rig.gateway.reload(rig.environment);
-      Rig.await("the first file again", () -> rig.figure("loads") == 2);
-      assertThat(rig.ask(post("dispatch", ""))).contains(" 200 ");
+      Rig.await("the first file again", () -> rig.metric("loads") == 2);
+      assertThat(rig.request(post("dispatch", ""))).contains(" 200 ");
     }
   }
 
   @Test
   void filesThatAreNotWholeOrMakeNoSenseAreTurnedDownAndChangeNothing() throws Exception {
     try (FakeServer host =
-            new FakeServer((h, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+            new FakeServer((h, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(7, host));
         FakeServer elsewhere = Rig.discovery(Rig.list(3));
         Rig rig = new Rig(160, discovery, host)) {
@@ -116,11 +118,11 @@
         rig.configure(file);
         rig.gateway.reload(rig.environment);
         long turnedDown = bad.indexOf(file) + 1;
-        Rig.await("turned down: " + file, () -> rig.figure("load_errors") == turnedDown);
+        Rig.await("turned down: " + file, () -> rig.metric("load_errors") == turnedDown);
       }
-      assertThat(rig.figure("loads")).isZero();
-      assertThat(rig.ask(post("haul", ""))).contains(" 404 ");
-      assertThat(rig.ask(post("dispatch", ""))).contains(" 200 ");
+      assertThat(rig.metric("loads")).isZero();
+      assertThat(rig.request(post("haul", ""))).contains(" 404 ");
+      assertThat(rig.request(post("dispatch", ""))).contains(" 200 ");
       assertThat(elsewhere.heads).isEmpty();
       assertThat(rig.log.toString().lines().filter(l -> l.contains("kept the old"))).isNotEmpty();
     }
@@ -128,7 +130,7 @@
 
   private static String ask(Rig rig, String request) {
     try {
-      return rig.ask(request);
+      return rig.request(request);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/test/java/hazelspoke/node/RepeatedAnswerTest.java
+++ b/src/test/java/hazelspoke/node/RepeatedAnswerTest.java
@@ -73,10 +73,10 @@
   /** The second copy is on its way once the next request has come, wherever that comes. */
   private boolean reply(String head, OutputStream out) throws Exception {
     if (firstConnection.compareAndSet(null, out)) {
-      return FakeServer.answer(out, FakeServer.ok(FIRST));
+      return FakeServer.respond(out, FakeServer.ok(FIRST));
     }
-    FakeServer.answer(firstConnection.get(), FakeServer.ok(FIRST));
-    return FakeServer.answer(out, FakeServer.ok(SECOND));
+    FakeServer.respond(firstConnection.get(), FakeServer.ok(FIRST));
+    return FakeServer.respond(out, FakeServer.ok(SECOND));
   }
 
   @Test
--- a/src/test/java/hazelspoke/node/Rig.java
+++ b/src/test/java/hazelspoke/node/Rig.java
@@ -124,7 +124,7 @@
   static FakeServer discovery(String list) throws IOException {
     return new FakeServer(
         (head, out) ->
-            FakeServer.answer(
+            FakeServer.respond(
                 out,
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     + Integer.toHexString(list.length() + 1)
@@ -165,7 +165,7 @@
           ? null
           : head
               + new String(
-                  socket.getInputStream().readNBytes(FakeServer.length(head)),
+                  socket.getInputStream().readNBytes(FakeServer.contentLength(head)),
                   StandardCharsets.ISO_8859_1);
     } catch (java.net.SocketException e) {
       return null;
@@ -173,17 +173,17 @@
   }
 
   /** Lets the gateway read all that lies at its sockets by now, and do what follows from it. */
-  void turns() throws Exception {
+  void runLoopIterations() throws Exception {
     for (int i = 0; i < 3; i++) {
       gateway.loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).sync();
     }
   }
 
   /** Waits until connections to hosts that have carried an answer may be used again. */
-  void settle() throws Exception {
+  void awaitReusableConnections() throws Exception {
     // Whatever rests since an answer has come to rest before this; what is timed comes behind it.
     gateway.loop.submit(() -> {}).sync();
-    long restMs = (long) HostClient.SETTLE_MS + 1;
+    long restMs = (long) HostClient.REUSE_DELAY_MS + 1;
     gateway.loop.schedule(() -> {}, restMs, TimeUnit.MILLISECONDS).sync();
   }
 
@@ -196,21 +196,21 @@
   }
 
   /** Begins to take leave, and returns once the gateway has let go of what rests. */
-  Thread beginToLeave() throws Exception {
-    Thread leaving = new Thread(this::leave);
+  Thread beginShutdown() throws Exception {
+    Thread leaving = new Thread(this::shutDown);
     leaving.start();
     await("told to leave", () -> log.toString().contains("taking leave"));
     CountDownLatch over = new CountDownLatch(1);
     // Its own timers come in their order: what it does at 500 ms has begun by then, and is done
     // once its sockets were read again.
     gateway.loop.schedule(over::countDown, 700, TimeUnit.MILLISECONDS);
-    hold(over);
-    turns();
+    awaitLatch(over);
+    runLoopIterations();
     return leaving;
   }
 
   /** One request on a connection of its own. */
-  String ask(String request) throws IOException {
+  String request(String request) throws IOException {
     try (Socket socket = connect()) {
       send(socket, request);
       return receive(socket);
@@ -218,7 +218,7 @@
   }
 
   /** One call of an operator's: the answer's status and body. */
-  String operate(String call) throws IOException {
+  String callOperators(String call) throws IOException {
     try (Socket socket = new Socket(operators.getAddress(), operators.getPort())) {
       socket.setSoTimeout(PATIENCE_MS);
       send(socket, call + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
@@ -228,9 +228,9 @@
   }
 
   /** A figure of {@code /_vars}; -1 when it is not there. */
-  long figure(String name) {
+  long metric(String name) {
     try {
-      return operate("GET /_vars")
+      return callOperators("GET /_vars")
           .lines()
           .map(line -> line.substring(line.lastIndexOf(' ') + 1))
           .filter(line -> line.startsWith("svc." + name + "="))
@@ -253,7 +253,7 @@
   }
 
   /** Holds a thread up until the test lets it go on. */
-  static void hold(CountDownLatch until) {
+  static void awaitLatch(CountDownLatch until) {
     try {
       until.await(PATIENCE_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
@@ -262,18 +262,18 @@
   }
 
   /** A host that answers well, and what has this path only once it may. */
-  static FakeServer holdingHost(String path, CountDownLatch until) throws IOException {
+  static FakeServer blockingHost(String path, CountDownLatch until) throws IOException {
     return new FakeServer(
         (head, out) -> {
           if (head.contains(path)) {
-            hold(until);
+            awaitLatch(until);
           }
-          return FakeServer.answer(out, FakeServer.ok("done"));
+          return FakeServer.respond(out, FakeServer.ok("done"));
         });
   }
 
   /** Takes leave as after SIGTERM; the gateway is gone when this returns. */
-  void leave() {
+  void shutDown() {
     if (!left) {
       left = true;
       gateway.drain();
@@ -282,7 +282,7 @@
 
   @Override
   public void close() throws Exception {
-    leave();
+    shutDown();
     ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.SIMPLE);
     Files.deleteIfExists(file);
     Files.deleteIfExists(folder.resolve("pumicetray-here.serving"));
--- a/src/test/java/hazelspoke/node/ShutdownProcessTest.java
+++ b/src/test/java/hazelspoke/node/ShutdownProcessTest.java
@@ -59,7 +59,7 @@
     ExecutorService readers = Executors.newCachedThreadPool();
     List<Socket> clients = new ArrayList<>();
     List<Future<String>> answers = new ArrayList<>();
-    try (FakeServer host = Rig.holdingHost("/dispatch/wait", never);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", never);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         ServeProcess gateway =
             ServeProcess.start(
--- a/src/test/java/hazelspoke/node/SignalsTest.java
+++ b/src/test/java/hazelspoke/node/SignalsTest.java
@@ -23,9 +23,9 @@
   private static void reloads(Path folder, String shell, boolean says) throws Exception {
     try (FakeServer first = host("first");
         FakeServer second = host("second");
-        LiveList before = new LiveList(Rig.list(1, first));
-        LiveList after =
-            new LiveList(
+        FakeDiscovery before = new FakeDiscovery(Rig.list(1, first));
+        FakeDiscovery after =
+            new FakeDiscovery(
                 Rig.list(
                     1,
                     true,
@@ -49,7 +49,7 @@
   }
 
   private static FakeServer host(String text) throws Exception {
-    return new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok(text)));
+    return new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok(text)));
   }
 
   @Test
--- a/src/test/java/hazelspoke/node/TakeoverTest.java
+++ b/src/test/java/hazelspoke/node/TakeoverTest.java
@@ -39,7 +39,7 @@
   void whoWaitsToBeAcceptedByTheOldOneIsServedAndWhoComesThenMeetsTheNew() throws Exception {
     CountDownLatch goOn = new CountDownLatch(1);
     List<Socket> waiting = new ArrayList<>();
-    try (FakeServer host = Rig.holdingHost("/dispatch/wait", goOn);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", goOn);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(300, discovery, host);
         Socket held = rig.connect();
@@ -52,13 +52,13 @@
       Gateway next = successor(rig, discovery);
       Rig.await("the new one watches at once", () -> discovery.heads.size() == 2);
       CountDownLatch busy = new CountDownLatch(1);
-      rig.gateway.loop.execute(() -> Rig.hold(busy));
+      rig.gateway.loop.execute(() -> Rig.awaitLatch(busy));
       for (int i = 0; i < 40; i++) {
         Socket socket = rig.connect();
         waiting.add(socket);
         Rig.send(socket, Rig.dispatch(Rig.id(), ""));
       }
-      Thread leaving = new Thread(rig::leave);
+      Thread leaving = new Thread(rig::shutDown);
       leaving.start();
       Rig.await("told to leave", () -> leaving.getState() == Thread.State.TIMED_WAITING);
       busy.countDown();
@@ -67,15 +67,17 @@
       }
       Rig.await("the listener is closed", () -> rig.log.toString().contains("handing over"));
       for (int i = 0; i < 20; i++) {
-        assertThat(rig.ask(Rig.dispatch(Rig.id(), ""))).contains(" 200 ").doesNotContain("close");
-        assertThat(rig.ask(HEALTH)).contains(" 200 ");
+        assertThat(rig.request(Rig.dispatch(Rig.id(), "")))
+            .contains(" 200 ")
+            .doesNotContain("close");
+        assertThat(rig.request(HEALTH)).contains(" 200 ");
       }
       // Who rests may ask once more and is sent over with the answer.
       assertThat(resting.getInputStream().read()).isEqualTo(-1);
       goOn.countDown();
       assertThat(Rig.receive(held)).contains(" 200 ").containsIgnoringCase("connection: close");
       leaving.join();
-      assertThat(rig.ask(HEALTH)).contains(" 200 ");
+      assertThat(rig.request(HEALTH)).contains(" 200 ");
       next.stop();
     } finally {
       goOn.countDown();
--- a/src/test/java/hazelspoke/node/WindowTest.java
+++ b/src/test/java/hazelspoke/node/WindowTest.java
@@ -18,31 +18,32 @@
     try (FakeServer first =
             new FakeServer(
                 (head, out) -> {
-                  Rig.hold(fail);
-                  return FakeServer.answer(out, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n");
+                  Rig.awaitLatch(fail);
+                  return FakeServer.respond(out, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n");
                 });
         LateListener late = new LateListener();
-        LiveList discovery = new LiveList(Rig.list(1, true, Rig.entry(first.address(), "Ready")));
+        FakeDiscovery discovery =
+            new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), "Ready")));
         Rig rig =
             new Rig(
                 160,
                 discovery.server,
                 config -> config.replace("\"window\":20000", "\"window\":" + WINDOW_MS));
         Socket client = rig.connect()) {
-      Rig.await("the list", () -> rig.figure("known_hosts") == 1);
+      Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(
           client,
           Rig.dispatch(Rig.id(), "Idempotency-Key: k\r\nContent-Length: 0\r\n")
               .replace("dispatch", "reserve"));
       Rig.await("the first has it", () -> first.heads.size() == 1);
-      discovery.tell(Rig.list(2, false, Rig.entry(late.address(), "Ready")));
-      Rig.await("the second is known", () -> rig.figure("known_hosts") == 2);
+      discovery.push(Rig.list(2, false, Rig.entry(late.address(), "Ready")));
+      Rig.await("the second is known", () -> rig.metric("known_hosts") == 2);
       fail.countDown();
       CountDownLatch over = new CountDownLatch(1);
       rig.gateway.loop.schedule(over::countDown, WINDOW_MS + 200, TimeUnit.MILLISECONDS);
-      Rig.hold(over);
+      Rig.awaitLatch(over);
       assertThat(late.letIn()).isZero();
-      assertThat(rig.figure("upstream_tries")).isEqualTo(1);
+      assertThat(rig.metric("upstream_tries")).isEqualTo(1);
     }
   }
 }
