--- a/src/main/java/hazelspoke/FleetCommand.java
+++ b/src/main/java/hazelspoke/FleetCommand.java
@@ -10,8 +10,8 @@
 import hazelspoke.agreement.record.Command.Vouch;
 import hazelspoke.agreement.wire.Fields;
 import hazelspoke.agreement.wire.MalformedException;
-import hazelspoke.config.OperatorsFile;
-import hazelspoke.config.OperatorsFileException;
+import hazelspoke.config.OperatorConfig;
+import hazelspoke.config.OperatorConfigException;
 import hazelspoke.net.Addresses;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -100,8 +100,8 @@
       FleetSettings fleet;
       try {
         fleet = settings();
-      } catch (OperatorsFileException e) {
-        e.complaints().forEach(err()::println);
+      } catch (OperatorConfigException e) {
+        e.errors().forEach(err()::println);
         return 1;
       }
       if (fleet == null) {
@@ -120,14 +120,14 @@
       return UNREACHED;
     }
 
-    private FleetSettings settings() throws OperatorsFileException {
+    private FleetSettings settings() throws OperatorConfigException {
       String file =
-          config != null ? config.toString() : System.getenv().get(OperatorsFile.VARIABLE);
+          config != null ? config.toString() : System.getenv().get(OperatorConfig.VARIABLE);
       if (file == null) {
         throw new ParameterException(
-            spec.commandLine(), "--config is missing, and " + OperatorsFile.VARIABLE + " as well");
+            spec.commandLine(), "--config is missing, and " + OperatorConfig.VARIABLE + " as well");
       }
-      return OperatorsFile.read(Path.of(file), System.getenv()).fleet();
+      return OperatorConfig.read(Path.of(file), System.getenv()).fleet();
     }
 
     private Collection<InetSocketAddress> addresses(FleetSettings fleet) {
--- a/src/main/java/hazelspoke/RehearseCommand.java
+++ b/src/main/java/hazelspoke/RehearseCommand.java
@@ -29,7 +29,7 @@
       "4:the emulator itself ran late; the rehearsal counts for nothing"
     })
 final class RehearseCommand implements Callable<Integer> {
-  @Mixin private PlayOptions options;
+  @Mixin private RunOptions options;
 
   @Option(
       names = "--repeat",
--- a/src/main/java/hazelspoke/PlayOptions.java
+++ b/src/main/java/hazelspoke/RunOptions.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Parameters;
 
 /** What is said to every command that plays one script. */
-final class PlayOptions {
+final class RunOptions {
   @Parameters(paramLabel = "SCRIPT", description = "A script in TOML.")
   private Path script;
 
--- a/src/main/java/hazelspoke/ServeCommand.java
+++ b/src/main/java/hazelspoke/ServeCommand.java
@@ -1,6 +1,6 @@
 package hazelspoke;
 
-import hazelspoke.config.OperatorsFile;
+import hazelspoke.config.OperatorConfig;
 import hazelspoke.node.Gateway;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -32,7 +32,7 @@
   public Integer call() {
     Map<String, String> environment = new HashMap<>(System.getenv());
     if (config != null) {
-      environment.put(OperatorsFile.VARIABLE, config.toString());
+      environment.put(OperatorConfig.VARIABLE, config.toString());
     }
     return Gateway.serve(environment, System.err);
   }
--- a/src/main/java/hazelspoke/TormentCommand.java
+++ b/src/main/java/hazelspoke/TormentCommand.java
@@ -50,7 +50,7 @@
 
   @Spec private CommandSpec spec;
 
-  @Mixin private PlayOptions options;
+  @Mixin private RunOptions options;
 
   @Option(
       names = "--processes",
--- a/src/main/java/hazelspoke/config/OperatorsFile.java
+++ b/src/main/java/hazelspoke/config/OperatorConfig.java
@@ -25,7 +25,7 @@
  *
  * @param fleet null where there is no section of that name
  */
-public record OperatorsFile(FleetSettings fleet) {
+public record OperatorConfig(FleetSettings fleet) {
   /** Names the file. */
   public static final String VARIABLE = "PUMICETRAY_CONFIG";
 
@@ -45,23 +45,23 @@
    * Reads the file.
    *
    * @param environment may name the member
-   * @throws OperatorsFileException with all that is wrong
+   * @throws OperatorConfigException with all that is wrong
    */
-  public static OperatorsFile read(Path file, Map<String, String> environment)
-      throws OperatorsFileException {
+  public static OperatorConfig read(Path file, Map<String, String> environment)
+      throws OperatorConfigException {
     List<String> complaints = new ArrayList<>();
     TomlParseResult parsed;
     try {
       parsed = Toml.parse(file);
     } catch (IOException e) {
-      throw new OperatorsFileException(
+      throw new OperatorConfigException(
           List.of(
               file + ": cannot be read: " + (Files.exists(file) ? e : "there is no such file")));
     }
     for (TomlParseError error : parsed.errors()) {
       complaints.add(file + ":" + error.position().line() + ": " + error.getMessage());
     }
-    Section top = new Section(file.toString(), "", parsed, complaints);
+    TomlSection top = new TomlSection(file.toString(), "", parsed, complaints);
     FleetSettings fleet = null;
     if (complaints.isEmpty()) {
       if (top.has("fleet")) {
@@ -70,14 +70,14 @@
       top.noOthers();
     }
     if (!complaints.isEmpty()) {
-      throw new OperatorsFileException(complaints);
+      throw new OperatorConfigException(complaints);
     }
-    return new OperatorsFile(fleet);
+    return new OperatorConfig(fleet);
   }
 
-  private static FleetSettings fleet(Path file, Section in, Map<String, String> environment) {
+  private static FleetSettings fleet(Path file, TomlSection in, Map<String, String> environment) {
     String name = in.text("name");
-    Section members = in.section("members");
+    TomlSection members = in.section("members");
     Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     for (String member : members.keys()) {
       InetSocketAddress address = address(members, member);
@@ -120,7 +120,7 @@
     return new FleetSettings(member, addresses, listen, data, alone);
   }
 
-  private static InetSocketAddress address(Section in, String key) {
+  private static InetSocketAddress address(TomlSection in, String key) {
     InetSocketAddress address = Addresses.parse(in.text(key));
     if (address == null) {
       in.complain(key, "expected an address in figures and a port, such as 10.0.0.4:7400");
@@ -128,7 +128,7 @@
     return address;
   }
 
-  private static void unique(Section in, Map<String, InetSocketAddress> addresses) {
+  private static void unique(TomlSection in, Map<String, InetSocketAddress> addresses) {
     Set<InetSocketAddress> seen = new HashSet<>();
     addresses.forEach(
         (member, address) -> {
@@ -138,15 +138,15 @@
         });
   }
 
-  private static void isMember(Section in, String key, String name, Set<String> members) {
+  private static void isMember(TomlSection in, String key, String name, Set<String> members) {
     if (!name.isEmpty() && !members.contains(name)) {
-      String near = Section.near(name, members);
+      String near = TomlSection.near(name, members);
       in.complain(
           key, "there is no member " + name + (near == null ? "" : "; did you mean " + near + "?"));
     }
   }
 
-  private static List<String> voters(Section in, Set<String> members) {
+  private static List<String> voters(TomlSection in, Set<String> members) {
     List<String> voters = in.texts("voters");
     for (String voter : voters) {
       isMember(in, "voters", voter, members);
@@ -160,7 +160,7 @@
     return voters;
   }
 
-  private static Path data(Path file, Section in) {
+  private static Path data(Path file, TomlSection in) {
     String text = in.text("data");
     try {
       Path folder = file.toAbsolutePath().getParent();
--- a/src/main/java/hazelspoke/config/Section.java
+++ b/src/main/java/hazelspoke/config/TomlSection.java
@@ -14,7 +14,7 @@
  * One table of the file. Complaints are gathered, so that all are told at once; where there is one
  * the value returned is the one that was to be there in its absence.
  */
-final class Section {
+final class TomlSection {
   private static final int NEAR = 2;
 
   private final String file;
@@ -23,7 +23,7 @@
   private final List<String> complaints;
   private final Set<String> known = new LinkedHashSet<>();
 
-  Section(String file, String path, TomlTable table, List<String> complaints) {
+  TomlSection(String file, String path, TomlTable table, List<String> complaints) {
     this.file = file;
     this.path = path;
     this.table = table;
@@ -46,14 +46,14 @@
   }
 
   /** A table in this one; an empty one where there is none. */
-  Section section(String key) {
+  TomlSection section(String key) {
     Object value = has(key) ? table.get(List.of(key)) : null;
     String its = path.isEmpty() ? key : path + "." + key;
     if (value instanceof TomlTable inner) {
-      return new Section(file, its, inner, complaints);
+      return new TomlSection(file, its, inner, complaints);
     }
     complain(key, "expected a table, [" + its + "]");
-    return new Section(file, its, Toml.parse(""), complaints);
+    return new TomlSection(file, its, Toml.parse(""), complaints);
   }
 
   /** A text that must be given and not be empty. */
--- a/src/main/java/hazelspoke/node/ClassArchive.java
+++ b/src/main/java/hazelspoke/node/ClassArchive.java
@@ -59,7 +59,7 @@
         Gateway first = start(file, 1, err);
         InetSocketAddress host = (InetSocketAddress) first.start();
         Gateway second = start(file, host.getPort(), err);
-        InetSocketAddress operators = second.openToOperators();
+        InetSocketAddress operators = second.openManagement();
         ask((InetSocketAddress) second.start());
         call(operators, "GET /_ready HTTP/1.1\r\n\r\n");
         call(operators, "GET /_vars HTTP/1.1\r\n\r\n");
--- a/src/main/java/hazelspoke/node/FileWatch.java
+++ b/src/main/java/hazelspoke/node/FileWatcher.java
@@ -10,7 +10,7 @@
  * Notices that a file was changed, replaced or removed, by a look at its attributes now and then.
  * One that is being written is left alone until it stands still from one look to the next.
  */
-final class FileWatch {
+final class FileWatcher {
   /** How often to look, in ms: a change is noticed within two of these. */
   static final long EVERY_MS = 100;
 
@@ -23,7 +23,7 @@
    *
    * @param file its path; null and what is no path stand for a file that is missing
    */
-  FileWatch(String file) {
+  FileWatcher(String file) {
     this.file = file;
     taken = attributes();
     seen = taken;
--- a/src/main/java/hazelspoke/node/FleetMembership.java
+++ b/src/main/java/hazelspoke/node/FleetMembership.java
@@ -2,8 +2,8 @@
 
 import hazelspoke.agreement.net.FleetNode;
 import hazelspoke.agreement.net.FleetSettings;
-import hazelspoke.config.OperatorsFile;
-import hazelspoke.config.OperatorsFileException;
+import hazelspoke.config.OperatorConfig;
+import hazelspoke.config.OperatorConfigException;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -35,9 +35,9 @@
    */
   static FleetSettings read(String file, Map<String, String> environment) throws ConfigException {
     try {
-      return OperatorsFile.read(Path.of(file), environment).fleet();
-    } catch (OperatorsFileException e) {
-      throw new ConfigException(String.join("\nhazelspoke: ", e.complaints()));
+      return OperatorConfig.read(Path.of(file), environment).fleet();
+    } catch (OperatorConfigException e) {
+      throw new ConfigException(String.join("\nhazelspoke: ", e.errors()));
     }
   }
 
@@ -74,11 +74,11 @@
   }
 
   /** What operators see of it among the other figures. */
-  void figures(Operators operators) {
-    operators.gauge("fleet.joined", () -> node.hasJoined() ? 1 : 0);
-    operators.gauge("fleet.holds", () -> node.holds() ? 1 : 0);
-    operators.gauge("fleet.leads", () -> node.leads() ? 1 : 0);
-    operators.gauge("fleet.index", node::index);
+  void registerMetrics(Management management) {
+    management.gauge("fleet.joined", () -> node.hasJoined() ? 1 : 0);
+    management.gauge("fleet.holds", () -> node.holds() ? 1 : 0);
+    management.gauge("fleet.leads", () -> node.leads() ? 1 : 0);
+    management.gauge("fleet.index", node::index);
   }
 
   /** Goes for good. */
--- a/src/main/java/hazelspoke/node/Gateway.java
+++ b/src/main/java/hazelspoke/node/Gateway.java
@@ -14,7 +14,7 @@
 import hazelspoke.net.EventLoops;
 import hazelspoke.net.Transport;
 import hazelspoke.net.Turns;
-import hazelspoke.takeover.Succession;
+import hazelspoke.takeover.ServingPidFile;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -53,7 +53,7 @@
   private static final long ACCEPT_ON_MS = 500;
 
   /** Nor is a longer deadline waited for than this, which SIGKILL need not do either. */
-  static final long MOST_DEADLINE_MS = 3_000;
+  static final long MAX_DEADLINE_MS = 3_000;
 
   private static final long DRAIN_CHECK_MS = 20;
 
@@ -62,7 +62,7 @@
    * old, and what the agent has counts as told from the first moment of a process. An agent that
    * has a list answers at once; one that has not answered two calls, 200 ms apart, is silent.
    */
-  private static final long FIRST_LIST_MS = 400;
+  private static final long FIRST_LIST_TIMEOUT_MS = 400;
 
   /** As often as this operators' figures of hosts are brought up to date. */
   private static final long FIGURES_MS = 100;
@@ -75,7 +75,7 @@
   private GatewayConfig config;
 
   /** The longest deadline that a leave waits for; tests that hold requests up have more time. */
-  long mostDeadlineMs = MOST_DEADLINE_MS;
+  long maxDeadlineMs = MAX_DEADLINE_MS;
 
   private final EventLoopGroup group = EventLoops.single();
   final EventLoop loop = group.next();
@@ -96,7 +96,7 @@
   private volatile boolean serving;
 
   /** How long the first list of an agent is waited for; a test has its own. */
-  long firstListMs = FIRST_LIST_MS;
+  long firstListTimeoutMs = FIRST_LIST_TIMEOUT_MS;
 
   /** Whether any list of hosts is known, an agent's or the configuration's; the loop's. */
   private boolean listed;
@@ -105,7 +105,7 @@
   private boolean draining;
 
   /** Null where operators have no address. */
-  private Operators operators;
+  private Management management;
 
   /** Null where the operator's file names no fleet. */
   private volatile FleetMembership fleet;
@@ -114,7 +114,7 @@
   private volatile boolean handDrain;
 
   /** Null where no other process takes over. */
-  private Succession succession;
+  private ServingPidFile pidFile;
 
   Gateway(GatewayConfig config, PrintStream err, Transport transport) {
     this.config = config;
@@ -139,8 +139,10 @@
       Map<String, String> environment, PrintStream err, Consumer<Thread> shutdownHooks) {
     IgnoredSignals ignored = IgnoredSignals.ofThisProcess();
     // Before the file is read, so that no change of it is missed.
-    FileWatch changes =
-        ignored.ignores(IgnoredSignals.HUP) ? new FileWatch(environment.get("NODE_CONFIG")) : null;
+    FileWatcher changes =
+        ignored.ignores(IgnoredSignals.HUP)
+            ? new FileWatcher(environment.get("NODE_CONFIG"))
+            : null;
     GatewayConfig config;
     FleetSettings fleet = null;
     try {
@@ -160,15 +162,15 @@
       gateway.reloadOn(changes, environment);
     }
     try {
-      gateway.openToOperators();
-      if (gateway.operators != null) {
-        ignored.figures(gateway.operators);
+      gateway.openManagement();
+      if (gateway.management != null) {
+        ignored.registerMetrics(gateway.management);
       }
       if (fleet != null) {
         gateway.joinFleet(fleet);
       }
       new WarmUp(config, environment).run(gateway.log, WarmUp.MOST_MS);
-      gateway.joinSuccession(temporary(environment));
+      gateway.openPidFile(temporary(environment));
       gateway.awaitFleet();
       shutdownHooks.accept(new Thread(gateway::drain, "drain"));
       gateway.start();
@@ -194,7 +196,7 @@
       throw new IllegalStateException(e.getMessage(), e);
     }
     try {
-      gateway.openToOperators();
+      gateway.openManagement();
       gateway.start();
     } catch (IllegalStateException e) {
       gateway.stop();
@@ -209,19 +211,19 @@
    * @return where they call, or null
    * @throws IllegalStateException when their address cannot be listened on
    */
-  InetSocketAddress openToOperators() {
+  InetSocketAddress openManagement() {
     if (config.management() == null) {
       return null;
     }
-    operators = new Operators(this, config.names().classes());
-    return operators.listen(config.management());
+    management = new Management(this, config.names().classes());
+    return management.listen(config.management());
   }
 
   void joinFleet(FleetSettings settings) {
     fleet =
         FleetMembership.open(settings, line -> loop.execute(() -> log.line(line)), this::standing);
-    if (operators != null) {
-      fleet.figures(operators);
+    if (management != null) {
+      fleet.registerMetrics(management);
     }
   }
 
@@ -260,17 +262,17 @@
   }
 
   /** Where operators upgrade while it serves, another process may come to the same address. */
-  private void joinSuccession(Path folder) {
-    if (operators != null) {
+  private void openPidFile(Path folder) {
+    if (management != null) {
       InetSocketAddress address = config.listen();
-      joinSuccession(
-          Succession.ofThisProcess(folder, address.getHostString() + "-" + address.getPort()));
+      setPidFile(
+          ServingPidFile.ofThisProcess(folder, address.getHostString() + "-" + address.getPort()));
     }
   }
 
   /** Takes its place among those that serve at its address, before it starts. */
-  void joinSuccession(Succession line) {
-    succession = line;
+  void setPidFile(ServingPidFile shared) {
+    pidFile = shared;
   }
 
   /** Starts everything and returns the address that clients can connect to. */
@@ -284,9 +286,9 @@
     if (fleet != null) {
       standing();
     }
-    if (succession != null) {
+    if (pidFile != null) {
       try {
-        succession.serve();
+        pidFile.claim();
       } catch (IOException e) {
         log.failure("the process before this one will not know of it", e);
       }
@@ -300,7 +302,7 @@
     }
     int others =
         OTHER_DESCRIPTORS
-            + (operators == null ? 0 : Operators.DESCRIPTORS)
+            + (management == null ? 0 : Management.DESCRIPTORS)
             + (fleet == null ? 0 : FleetMembership.DESCRIPTORS);
     int shared = Math.max(4, config.sockets() - others);
     int hostSockets = (int) (HOST_PART * shared);
@@ -322,7 +324,7 @@
             clock,
             log,
             hosts,
-            operators == null ? Meter.NONE : operators.meter());
+            management == null ? Meter.NONE : management.meter());
     boolean pushed = config.settings().discovery() == Settings.Discovery.PUSHED;
     // A warm-up has no agent.
     boolean agentFirst = pushed && transport == Transport.TCP;
@@ -340,20 +342,20 @@
         new LcStarBalancer(config.settings(), config.seed(), clock.nowMs(), dispatcher);
     dispatcher.start(balancer, discovery);
     if (agentFirst) {
-      loop.schedule(this::goByConfiguredList, firstListMs, TimeUnit.MILLISECONDS);
+      loop.schedule(this::goByConfiguredList, firstListTimeoutMs, TimeUnit.MILLISECONDS);
     } else {
       goByConfiguredList();
     }
     discovery.start();
-    if (succession != null && succession.hasPredecessor()) {
+    if (pidFile != null && pidFile.hasPredecessor()) {
       // The module spreads first calls, as a whole fleet may be starting. This one starts alone,
       // and
       // the list that it was given may be old. The module's own call then finds it done.
       discovery.watch(true);
     }
-    if (operators != null) {
+    if (management != null) {
       loop.scheduleAtFixedRate(
-          () -> operators.hosts(hosts.size(), balancer.usableHosts(clock.nowMs())),
+          () -> management.setHostCounts(hosts.size(), balancer.usableHosts(clock.nowMs())),
           0,
           FIGURES_MS,
           TimeUnit.MILLISECONDS);
@@ -369,7 +371,7 @@
             log,
             dispatcher.violations(),
             clientSockets);
-    return clients.listen(transport, config.listen(), succession != null);
+    return clients.listen(transport, config.listen(), pidFile != null);
   }
 
   /** What is told first may be changes only: they hold for the list that was asked from. */
@@ -407,22 +409,22 @@
           } catch (ConfigException | IllegalArgumentException e) {
             log.line("kept the old configuration: " + e.getMessage());
           }
-          if (operators != null) {
-            operators.loaded(good);
+          if (management != null) {
+            management.reloaded(good);
           }
         });
   }
 
   /** Reloads whenever the file has changed: for where SIGHUP does not arrive. */
-  private void reloadOn(FileWatch changes, Map<String, String> environment) {
+  private void reloadOn(FileWatcher changes, Map<String, String> environment) {
     loop.scheduleWithFixedDelay(
         () -> {
           if (changes.hasChanged()) {
             reload(environment);
           }
         },
-        FileWatch.EVERY_MS,
-        FileWatch.EVERY_MS,
+        FileWatcher.EVERY_MS,
+        FileWatcher.EVERY_MS,
         TimeUnit.MILLISECONDS);
   }
 
@@ -442,8 +444,8 @@
       discovery.moveTo(next.discovery());
     }
     classes = book;
-    if (operators != null) {
-      operators.nameClasses(book.names());
+    if (management != null) {
+      management.setClasses(book.names());
     }
   }
 
@@ -456,9 +458,9 @@
     if (group.isShuttingDown()) {
       return;
     }
-    double longestMs = Math.min(mostDeadlineMs, classes.longestDeadlineMs(clock.nowMs()));
+    double longestMs = Math.min(maxDeadlineMs, classes.longestDeadlineMs(clock.nowMs()));
     ShutdownPlan plan = ShutdownPlan.begin(clock.nowMs(), longestMs);
-    boolean followed = succession != null && succession.isFollowed();
+    boolean followed = pidFile != null && pidFile.hasSuccessor();
     loop.execute(
         () -> {
           draining = true;
@@ -499,8 +501,8 @@
 
   /** Ends at once, with whatever is under way. */
   public void stop() {
-    if (operators != null) {
-      operators.close();
+    if (management != null) {
+      management.close();
     }
     if (fleet != null) {
       fleet.close();
--- a/src/main/java/hazelspoke/node/IgnoredSignals.java
+++ b/src/main/java/hazelspoke/node/IgnoredSignals.java
@@ -64,9 +64,9 @@
   }
 
   /** Shows operators 1 for each of those that something hangs on, or 0. */
-  void figures(Operators operators) {
-    operators.gauge("ignored.sighup", () -> ignores(HUP) ? 1 : 0);
-    operators.gauge("ignored.sigint", () -> ignores(INT) ? 1 : 0);
-    operators.gauge("ignored.sigterm", () -> ignores(TERM) ? 1 : 0);
+  void registerMetrics(Management management) {
+    management.gauge("ignored.sighup", () -> ignores(HUP) ? 1 : 0);
+    management.gauge("ignored.sigint", () -> ignores(INT) ? 1 : 0);
+    management.gauge("ignored.sigterm", () -> ignores(TERM) ? 1 : 0);
   }
 }
--- a/src/main/java/hazelspoke/node/Operators.java
+++ b/src/main/java/hazelspoke/node/Management.java
@@ -1,28 +1,28 @@
 package hazelspoke.node;
 
 import hazelspoke.core.Meter;
-import hazelspoke.operations.Figures;
+import hazelspoke.operations.GatewayMetrics;
+import hazelspoke.operations.ManagedGateway;
 import hazelspoke.operations.ManagementServer;
-import hazelspoke.operations.Operated;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.function.LongSupplier;
 
 /**
- * What operators have of one gateway: their listener and the figures. A gateway has none where they
+ * What operators have of one gateway: their listener and the metrics. A gateway has none where they
  * have no address, and then neither this class nor the package behind it is loaded.
  */
-final class Operators implements Operated, AutoCloseable {
+final class Management implements ManagedGateway, AutoCloseable {
   /** What their listener needs of the descriptors there are. */
   static final int DESCRIPTORS = ManagementServer.DESCRIPTORS;
 
   private final Gateway gateway;
-  private final Figures figures;
+  private final GatewayMetrics metrics;
   private final ManagementServer server = new ManagementServer(this);
 
-  Operators(Gateway gateway, List<String> classNames) {
+  Management(Gateway gateway, List<String> classNames) {
     this.gateway = gateway;
-    figures = new Figures(classNames);
+    metrics = new GatewayMetrics(classNames);
   }
 
   /** Lets them call there; see {@link ManagementServer#listen}. */
@@ -31,25 +31,25 @@
   }
 
   Meter meter() {
-    return figures;
+    return metrics;
   }
 
   /** Notes how many hosts are listed, and how many of them would be sent a request now. */
-  void hosts(int known, int usable) {
-    figures.hosts(known, Math.max(0, known - usable));
+  void setHostCounts(int known, int usable) {
+    metrics.setHostCounts(known, Math.max(0, known - usable));
   }
 
   /** Adds a figure that any thread may ask for. */
   void gauge(String name, LongSupplier value) {
-    figures.gauge(name, value);
+    metrics.gauge(name, value);
   }
 
-  void loaded(boolean good) {
-    figures.loaded(good);
+  void reloaded(boolean good) {
+    metrics.reloaded(good);
   }
 
-  void nameClasses(List<String> names) {
-    figures.nameClasses(names);
+  void setClasses(List<String> names) {
+    metrics.setClasses(names);
   }
 
   @Override
@@ -63,8 +63,8 @@
   }
 
   @Override
-  public String figures() {
-    return figures.text();
+  public String metrics() {
+    return metrics.text();
   }
 
   @Override
--- a/src/main/java/hazelspoke/operations/Figures.java
+++ b/src/main/java/hazelspoke/operations/GatewayMetrics.java
@@ -18,11 +18,11 @@
  * The figures of one process since its start. Counted on the loop; {@link #text} may be asked by
  * any thread.
  */
-public final class Figures implements Meter {
+public final class GatewayMetrics implements Meter {
   private static final String PREFIX = "svc.";
 
   /** The counts of one class, whose place may change when others come and go. */
-  private record OfClass(Counter passed, Counter dropped, Counter badGateway) {
+  private record ClassCounters(Counter passed, Counter dropped, Counter badGateway) {
     void count(Answer.Outcome outcome) {
       switch (outcome) {
         case SERVED -> passed.inc();
@@ -39,14 +39,14 @@
   private final Counter leftWaiting = registry.counter("left.waiting");
   private final Counter loads = registry.counter("loads");
   private final Counter loadErrors = registry.counter("load_errors");
-  private final List<OfClass> classes = new ArrayList<>();
+  private final List<ClassCounters> classes = new ArrayList<>();
   private final Map<LateAnswer, Counter> late = new EnumMap<>(LateAnswer.class);
   private final Map<Violations.Kind, Counter> violations = new EnumMap<>(Violations.Kind.class);
   private volatile int knownHosts;
   private volatile int skippedHosts;
 
   /** All at 0, for classes of these names, each at its place. */
-  public Figures(List<String> classNames) {
+  public GatewayMetrics(List<String> classNames) {
     registry.register("known_hosts", (Gauge<Integer>) () -> knownHosts);
     registry.register("skipped_hosts", (Gauge<Integer>) () -> skippedHosts);
     for (LateAnswer why : LateAnswer.values()) {
@@ -56,15 +56,15 @@
       String name = kind.name().toLowerCase(Locale.ROOT);
       violations.put(kind, registry.counter("violations." + name));
     }
-    nameClasses(classNames);
+    setClasses(classNames);
   }
 
   /** The classes are these from now on; one that was there before goes on from its counts. */
-  public void nameClasses(List<String> names) {
+  public void setClasses(List<String> names) {
     classes.clear();
     for (String name : names) {
       classes.add(
-          new OfClass(
+          new ClassCounters(
               registry.counter("passed." + name),
               registry.counter("dropped." + name),
               registry.counter("bad_gateway." + name)));
@@ -104,12 +104,12 @@
   }
 
   /** Counts a file of new settings, taken or turned down. */
-  public void loaded(boolean good) {
+  public void reloaded(boolean good) {
     (good ? loads : loadErrors).inc();
   }
 
   /** Notes how many hosts are listed, and how many of these the gateway avoids now. */
-  public void hosts(int known, int skipped) {
+  public void setHostCounts(int known, int skipped) {
     knownHosts = known;
     skippedHosts = skipped;
   }
--- a/src/main/java/hazelspoke/operations/Operated.java
+++ b/src/main/java/hazelspoke/operations/ManagedGateway.java
@@ -1,7 +1,7 @@
 package hazelspoke.operations;
 
 /** What of a gateway operators may ask and change. May be called from any thread. */
-public interface Operated {
+public interface ManagedGateway {
   /** Whether this process takes clients. */
   boolean isReady();
 
@@ -14,5 +14,5 @@
   boolean setDraining(boolean on);
 
   /** The figures, a line each. */
-  String figures();
+  String metrics();
 }
--- a/src/main/java/hazelspoke/operations/ManagementCall.java
+++ b/src/main/java/hazelspoke/operations/ManagementHandler.java
@@ -15,10 +15,10 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /** One call of an operator's: read whole, answered, and closed. */
-final class ManagementCall extends SimpleChannelInboundHandler<FullHttpRequest> {
-  private final Operated gateway;
+final class ManagementHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final ManagedGateway gateway;
 
-  ManagementCall(Operated gateway) {
+  ManagementHandler(ManagedGateway gateway) {
     this.gateway = gateway;
   }
 
@@ -37,7 +37,7 @@
       }
       case "/_vars" -> {
         if (isBy(ctx, call, HttpMethod.GET)) {
-          answer(ctx, HttpResponseStatus.OK, gateway.figures());
+          answer(ctx, HttpResponseStatus.OK, gateway.metrics());
         }
       }
       case "/_lameduck/on" -> {
--- a/src/main/java/hazelspoke/operations/ManagementServer.java
+++ b/src/main/java/hazelspoke/operations/ManagementServer.java
@@ -40,10 +40,10 @@
   /** Who is connected, the longest first; the loop's thread alone touches it. */
   private final Set<Channel> callers = new LinkedHashSet<>();
 
-  private final Operated gateway;
+  private final ManagedGateway gateway;
 
   /** One for this gateway; it does not listen yet. */
-  public ManagementServer(Operated gateway) {
+  public ManagementServer(ManagedGateway gateway) {
     this.gateway = gateway;
   }
 
@@ -93,7 +93,7 @@
             new ReadTimeoutHandler(MOST_SILENT_S, TimeUnit.SECONDS),
             new HttpServerCodec(limits),
             new HttpObjectAggregator(MOST_BODY_BYTES, true),
-            new ManagementCall(gateway));
+            new ManagementHandler(gateway));
   }
 
   /** Ends at once, with whatever is under way. */
--- a/src/main/java/hazelspoke/takeover/Succession.java
+++ b/src/main/java/hazelspoke/takeover/ServingPidFile.java
@@ -16,7 +16,7 @@
  * another process since would be taken for a successor; then new connections are not waited for at
  * a leave, as if one were there.
  */
-public final class Succession {
+public final class ServingPidFile {
   private final Path file;
   private final long self;
   private final LongPredicate isAlive;
@@ -27,15 +27,15 @@
    * @param self its process id
    * @param isAlive whether a process with this id runs
    */
-  public Succession(Path folder, String address, long self, LongPredicate isAlive) {
+  public ServingPidFile(Path folder, String address, long self, LongPredicate isAlive) {
     file = folder.resolve("pumicetray-" + address.replaceAll("[^A-Za-z0-9.]", "_") + ".serving");
     this.self = self;
     this.isAlive = isAlive;
   }
 
   /** The running process, as above. */
-  public static Succession ofThisProcess(Path folder, String address) {
-    return new Succession(
+  public static ServingPidFile ofThisProcess(Path folder, String address) {
+    return new ServingPidFile(
         folder,
         address,
         ProcessHandle.current().pid(),
@@ -47,7 +47,7 @@
    *
    * @throws IOException if it cannot be written; then the one before leaves as if it were the last
    */
-  public void serve() throws IOException {
+  public void claim() throws IOException {
     Path own = file.resolveSibling(file.getFileName() + "." + self);
     Files.writeString(own, Long.toString(self));
     Files.move(own, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
@@ -59,7 +59,7 @@
   }
 
   /** Whether another process has begun to serve since this one did, and runs. */
-  public boolean isFollowed() {
+  public boolean hasSuccessor() {
     return isNewestAnother();
   }
 
--- a/src/test/java/hazelspoke/config/OperatorsFileTest.java
+++ b/src/test/java/hazelspoke/config/OperatorConfigTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The operator's file, good and bad. */
-class OperatorsFileTest {
+class OperatorConfigTest {
   private static final String GOOD =
       """
       [fleet]
@@ -30,22 +30,22 @@
 
   @TempDir private Path folder;
 
-  private OperatorsFile read(String text, Map<String, String> environment) throws Exception {
+  private OperatorConfig read(String text, Map<String, String> environment) throws Exception {
     Path file = folder.resolve("pumicetray.toml");
     Files.writeString(file, text);
-    return OperatorsFile.read(file, environment);
+    return OperatorConfig.read(file, environment);
   }
 
   private List<String> complaints(String text) {
-    return catchThrowableOfType(OperatorsFileException.class, () -> read(text, Map.of()))
-        .complaints();
+    return catchThrowableOfType(OperatorConfigException.class, () -> read(text, Map.of())).errors();
   }
 
   @Test
   void theExampleThatIsDeployedIsGoodForEveryMember() throws Exception {
     for (String member : List.of("g1", "g2", "g3")) {
       FleetSettings fleet =
-          OperatorsFile.read(Path.of("deploy/pumicetray.toml"), Map.of("PUMICETRAY_MEMBER", member))
+          OperatorConfig.read(
+                  Path.of("deploy/pumicetray.toml"), Map.of("PUMICETRAY_MEMBER", member))
               .fleet();
       assertThat(fleet.member().self()).isEqualTo(member);
     }
@@ -104,9 +104,9 @@
     assertThat(complaints("[fleet\n")).allMatch(c -> c.contains("pumicetray.toml:1"));
     assertThat(
             catchThrowableOfType(
-                    OperatorsFileException.class,
-                    () -> OperatorsFile.read(folder.resolve("none.toml"), Map.of()))
-                .complaints())
+                    OperatorConfigException.class,
+                    () -> OperatorConfig.read(folder.resolve("none.toml"), Map.of()))
+                .errors())
         .singleElement()
         .asString()
         .contains("there is no such file");
--- a/src/test/java/hazelspoke/node/DeployedRunTest.java
+++ b/src/test/java/hazelspoke/node/DeployedCommandTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The command that platforms start, where little but TCP is allowed. */
-class DeployedRunTest {
+class DeployedCommandTest {
   @Test
   void itIsOneProcessThatServesWithNeitherFileSocketsNorOtherPrograms(@TempDir Path folder)
       throws Exception {
@@ -21,7 +21,7 @@
               ServeProcess.deployed(),
               false,
               discovery.address(),
-              "-Djava.security.manager=" + NarrowPlatform.class.getName(),
+              "-Djava.security.manager=" + RestrictedPlatform.class.getName(),
               "-Xlog:class+load:file=" + folder.resolve("classes"))) {
         gateway.awaitAnswer("done");
         assertThat(gateway.ask()).as(gateway.log()).endsWith("done");
--- a/src/test/java/hazelspoke/node/FirstListTest.java
+++ b/src/test/java/hazelspoke/node/FirstListTest.java
@@ -47,7 +47,7 @@
             GatewayConfig.read(Map.of("NODE_CONFIG", file.toString())),
             new PrintStream(log, true),
             Transport.TCP);
-    gateway.mostDeadlineMs = Rig.PATIENCE_MS;
+    gateway.maxDeadlineMs = Rig.PATIENCE_MS;
   }
 
   private static String chunked(String list) {
@@ -86,7 +86,7 @@
         wholeList
             ? Rig.list(2, true, oldDrains, Rig.entry(newHost.address(), "Ready"))
             : Rig.list(2, false, oldDrains);
-    gateway.firstListMs = Rig.PATIENCE_MS;
+    gateway.firstListTimeoutMs = Rig.PATIENCE_MS;
     try (Socket client = ask()) {
       Rig.await("a call to the agent", () -> agent.heads.size() > 0);
       // The request is read by then, and what the module asks for is done.
@@ -105,7 +105,7 @@
   @Test
   void anAgentWithNoChangesLeavesTheOldListInForce() throws Exception {
     told = Rig.list(1, false);
-    gateway.firstListMs = Rig.PATIENCE_MS;
+    gateway.firstListTimeoutMs = Rig.PATIENCE_MS;
     agentSpeaks.countDown();
     try (Socket client = ask()) {
       assertThat(Rig.receive(client)).contains(" 200 ");
@@ -115,7 +115,7 @@
   /** While discovery is down it learns nothing, and the old list is all that there is. */
   @Test
   void anAgentThatSaysNothingIsNotWaitedForForEver() throws Exception {
-    gateway.firstListMs = 1;
+    gateway.firstListTimeoutMs = 1;
     try (Socket client = ask()) {
       assertThat(Rig.receive(client)).contains(" 200 ");
     }
--- a/src/test/java/hazelspoke/node/LateListener.java
+++ b/src/test/java/hazelspoke/node/FullBacklogListener.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /** A host whose queue of new connections is full: what comes now comes up once it is let in. */
-final class LateListener implements AutoCloseable {
+final class FullBacklogListener implements AutoCloseable {
   private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
   private final List<Socket> filling = new ArrayList<>();
 
-  LateListener() throws IOException {
+  FullBacklogListener() throws IOException {
     boolean room = true;
     while (room) {
       Socket socket = new Socket();
@@ -32,7 +32,7 @@
   }
 
   /** How many of those that wait to be let in have written anything before they ended. */
-  int letIn() throws IOException {
+  int acceptAndCountSenders() throws IOException {
     for (Socket socket : filling) {
       socket.close();
     }
--- a/src/test/java/hazelspoke/node/GoneClientsTest.java
+++ b/src/test/java/hazelspoke/node/GoneClientsTest.java
@@ -76,7 +76,7 @@
     CountDownLatch goOn = new CountDownLatch(1);
     try (FakeServer host = Rig.holdingHost("/dispatch/wait", goOn);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
-        Rig rig = new Rig(60 + 56 + Operators.DESCRIPTORS, discovery, host)) {
+        Rig rig = new Rig(60 + 56 + Management.DESCRIPTORS, discovery, host)) {
       Socket[] first = new Socket[20];
       for (int i = 0; i < first.length; i++) {
         first[i] = rig.connect();
@@ -151,7 +151,7 @@
   @ParameterizedTest
   @EnumSource
   void whileItWaitsForAConnection(Leave leave) throws Exception {
-    try (LateListener late = new LateListener();
+    try (FullBacklogListener late = new FullBacklogListener();
         LiveList discovery = new LiveList(Rig.list(1, true, Rig.entry(late.address(), "Ready")));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
@@ -162,7 +162,7 @@
       leave.of(client);
       rig.turns();
       assertThat(rig.figure("in_progress")).isZero();
-      assertThat(late.letIn()).isZero();
+      assertThat(late.acceptAndCountSenders()).isZero();
       assertThat(rig.figure("upstream_tries")).isZero();
     }
   }
--- a/src/test/java/hazelspoke/node/ChurnTest.java
+++ b/src/test/java/hazelspoke/node/HostChurnTest.java
@@ -19,7 +19,7 @@
 import ternscale.api.Settings;
 
 /** Hosts that come and go, and gateways that do. */
-class ChurnTest {
+class HostChurnTest {
   @Test
   void poolsGoWithTheirHostsAndAnAddressHasOneHost() throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/src/test/java/hazelspoke/node/ListEndingsTest.java
+++ b/src/test/java/hazelspoke/node/ListEndingsTest.java
@@ -77,7 +77,7 @@
   /** The connection to the host that drains comes up only after the news. */
   @Test
   void whatWaitsForAConnectionToAHostThatBeginsToDrainGoesElsewhere() throws Exception {
-    try (LateListener late = new LateListener();
+    try (FullBacklogListener late = new FullBacklogListener();
         FakeServer other = answering("other");
         LiveList discovery = new LiveList(Rig.list(1, true, Rig.entry(late.address(), READY)));
         Rig rig = new Rig(160, discovery.server);
@@ -90,7 +90,7 @@
           Rig.list(
               2, false, Rig.entry(other.address(), READY), Rig.entry(late.address(), DRAINING)));
       assertThat(Rig.receive(client)).contains(" 200 ").endsWith("other");
-      assertThat(late.letIn()).isZero();
+      assertThat(late.acceptAndCountSenders()).isZero();
     }
   }
 
--- a/src/test/java/hazelspoke/node/OperationsTest.java
+++ b/src/test/java/hazelspoke/node/OperationsTest.java
@@ -167,7 +167,7 @@
               new PrintStream(rig.log),
               hazelspoke.net.Transport.TCP);
       try {
-        var at = early.openToOperators();
+        var at = early.openManagement();
         try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
           Rig.send(socket, "GET /_ready HTTP/1.1\r\n\r\n");
           assertThat(Rig.receive(socket)).contains(" 503 ");
--- a/src/test/java/hazelspoke/node/AloneTest.java
+++ b/src/test/java/hazelspoke/node/PartitionedMemberTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** What a gateway does for its clients while it cannot hear its fleet. */
-class AloneTest {
+class PartitionedMemberTest {
   private static final List<String> NAMES = List.of("g1", "g2", "g3");
 
   @TempDir private Path folder;
@@ -90,7 +90,7 @@
       Gateway gateway =
           new Gateway(GatewayConfig.read(environment), new PrintStream(log, true), Transport.TCP);
       try {
-        InetSocketAddress operators = gateway.openToOperators();
+        InetSocketAddress operators = gateway.openManagement();
         assertThat(gateway.isServing()).isFalse();
         gateway.joinFleet(settings("g1", alone));
         gateway.awaitFleet();
--- a/src/test/java/hazelspoke/node/NarrowPlatform.java
+++ b/src/test/java/hazelspoke/node/RestrictedPlatform.java
@@ -5,7 +5,7 @@
 
 /** A platform that refuses sockets in the file system and the start of other programs. */
 @SuppressWarnings("removal")
-public final class NarrowPlatform extends SecurityManager {
+public final class RestrictedPlatform extends SecurityManager {
   private static final NetPermission FILE_SOCKETS = new NetPermission("accessUnixDomainSocket");
 
   @Override
--- a/src/test/java/hazelspoke/node/Rig.java
+++ b/src/test/java/hazelspoke/node/Rig.java
@@ -2,7 +2,7 @@
 
 import hazelspoke.back.http.HostClient;
 import hazelspoke.net.Transport;
-import hazelspoke.takeover.Succession;
+import hazelspoke.takeover.ServingPidFile;
 import io.netty.util.ResourceLeakDetector;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -54,16 +54,16 @@
     configure(settings.apply(config(sockets, discovery.address())));
     gateway =
         new Gateway(GatewayConfig.read(environment), new PrintStream(log, true), Transport.TCP);
-    gateway.mostDeadlineMs = PATIENCE_MS;
-    operators = gateway.openToOperators();
+    gateway.maxDeadlineMs = PATIENCE_MS;
+    operators = gateway.openManagement();
     folder = Files.createTempDirectory("gateway");
-    gateway.joinSuccession(succession(1));
+    gateway.setPidFile(succession(1));
     address = (InetSocketAddress) gateway.start();
   }
 
   /** The place of a process with this id; all of them run. */
-  Succession succession(long process) {
-    return new Succession(folder, "here", process, id -> true);
+  ServingPidFile succession(long process) {
+    return new ServingPidFile(folder, "here", process, id -> true);
   }
 
   void configure(String text) throws IOException {
--- a/src/test/java/hazelspoke/node/LeaveTest.java
+++ b/src/test/java/hazelspoke/node/ShutdownTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What clients are owed while the gateway takes leave. */
-class LeaveTest {
+class ShutdownTest {
   /** With these sockets 20 clients are let in, and hosts may be called 24 times at once. */
-  private static final int SOCKETS = 60 + 56 + Operators.DESCRIPTORS;
+  private static final int SOCKETS = 60 + 56 + Management.DESCRIPTORS;
 
   private static final int LET_IN = 20;
   private static final int ALL = 128;
@@ -127,7 +127,7 @@
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket client = rig.connect()) {
-      rig.gateway.mostDeadlineMs = Gateway.MOST_DEADLINE_MS;
+      rig.gateway.maxDeadlineMs = Gateway.MAX_DEADLINE_MS;
       Rig.send(client, waits());
       Rig.await("the host has it", () -> host.heads.size() == 1);
       // The host answers never, and the client's time is 20 s.
--- a/src/test/java/hazelspoke/node/SignalsTest.java
+++ b/src/test/java/hazelspoke/node/SignalsTest.java
@@ -90,7 +90,7 @@
   void aFileCountsAsChangedOnceItStandsStill(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("config.json");
     Files.writeString(file, "one");
-    FileWatch watch = new FileWatch(file.toString());
+    FileWatcher watch = new FileWatcher(file.toString());
     assertThat(watch.hasChanged()).isFalse();
     for (int i = 0; i < 3; i++) {
       Files.writeString(file, "longer and longer".repeat(i + 1));
@@ -108,6 +108,6 @@
     Files.delete(file);
     assertThat(watch.hasChanged()).isFalse();
     assertThat(watch.hasChanged()).isTrue();
-    assertThat(new FileWatch(null).hasChanged()).isFalse();
+    assertThat(new FileWatcher(null).hasChanged()).isFalse();
   }
 }
--- a/src/test/java/hazelspoke/node/LongTurnsTest.java
+++ b/src/test/java/hazelspoke/node/SlowEventLoopTest.java
@@ -13,7 +13,7 @@
  * A loop whose every turn is long, as on a machine that has no time for it: clients leave between
  * the moment at which the sockets were read and the moment at which something is sent for them.
  */
-class LongTurnsTest {
+class SlowEventLoopTest {
   /** Longer than any look at the sockets stays good. */
   private static final int TURN_MS = 60;
 
--- a/src/test/java/hazelspoke/node/TakeoverTest.java
+++ b/src/test/java/hazelspoke/node/TakeoverTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import hazelspoke.net.Transport;
-import hazelspoke.takeover.Succession;
+import hazelspoke.takeover.ServingPidFile;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.Socket;
@@ -27,9 +27,9 @@
     Gateway next =
         new Gateway(
             GatewayConfig.read(rig.environment), new PrintStream(rig.log, true), Transport.TCP);
-    next.mostDeadlineMs = Rig.PATIENCE_MS;
-    next.openToOperators();
-    next.joinSuccession(rig.succession(2));
+    next.maxDeadlineMs = Rig.PATIENCE_MS;
+    next.openManagement();
+    next.setPidFile(rig.succession(2));
     next.start();
     return next;
   }
@@ -88,27 +88,27 @@
   @Test
   void theLastThatBeganToServeFollowsAllOthersAsLongAsItRuns(@TempDir Path folder)
       throws IOException {
-    Succession first = new Succession(folder, "127.0.0.1-8081", 1, pid -> pid != 3);
-    assertThat(first.isFollowed()).isFalse();
+    ServingPidFile first = new ServingPidFile(folder, "127.0.0.1-8081", 1, pid -> pid != 3);
+    assertThat(first.hasSuccessor()).isFalse();
     assertThat(first.hasPredecessor()).isFalse();
-    first.serve();
-    assertThat(first.isFollowed()).isFalse();
-    Succession elsewhere = new Succession(folder, "127.0.0.1-8082", 7, pid -> true);
-    elsewhere.serve();
-    assertThat(first.isFollowed()).isFalse();
-    Succession second = new Succession(folder, "127.0.0.1-8081", 2, pid -> true);
+    first.claim();
+    assertThat(first.hasSuccessor()).isFalse();
+    ServingPidFile elsewhere = new ServingPidFile(folder, "127.0.0.1-8082", 7, pid -> true);
+    elsewhere.claim();
+    assertThat(first.hasSuccessor()).isFalse();
+    ServingPidFile second = new ServingPidFile(folder, "127.0.0.1-8081", 2, pid -> true);
     assertThat(second.hasPredecessor()).isTrue();
-    second.serve();
-    assertThat(first.isFollowed()).isTrue();
-    assertThat(second.isFollowed()).isFalse();
+    second.claim();
+    assertThat(first.hasSuccessor()).isTrue();
+    assertThat(second.hasSuccessor()).isFalse();
     // One that crashed after its start leaves its name behind.
-    new Succession(folder, "127.0.0.1-8081", 3, pid -> true).serve();
-    assertThat(first.isFollowed()).isFalse();
+    new ServingPidFile(folder, "127.0.0.1-8081", 3, pid -> true).claim();
+    assertThat(first.hasSuccessor()).isFalse();
     try (var files = Files.list(folder)) {
       for (Path file : files.toList()) {
         Files.writeString(file, "no number");
       }
     }
-    assertThat(second.isFollowed()).isFalse();
+    assertThat(second.hasSuccessor()).isFalse();
   }
 }
--- a/src/test/java/hazelspoke/node/WindowTest.java
+++ b/src/test/java/hazelspoke/node/WindowTest.java
@@ -21,7 +21,7 @@
                   Rig.hold(fail);
                   return FakeServer.answer(out, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n");
                 });
-        LateListener late = new LateListener();
+        FullBacklogListener late = new FullBacklogListener();
         LiveList discovery = new LiveList(Rig.list(1, true, Rig.entry(first.address(), "Ready")));
         Rig rig =
             new Rig(
@@ -41,7 +41,7 @@
       CountDownLatch over = new CountDownLatch(1);
       rig.gateway.loop.schedule(over::countDown, WINDOW_MS + 200, TimeUnit.MILLISECONDS);
       Rig.hold(over);
-      assertThat(late.letIn()).isZero();
+      assertThat(late.acceptAndCountSenders()).isZero();
       assertThat(rig.figure("upstream_tries")).isEqualTo(1);
     }
   }
