--- a/src/test/java/hazelspoke/node/DisconnectedClientsTest.java
+++ b/src/test/java/hazelspoke/node/DisconnectedClientsTest.java
@@ -76,7 +76,7 @@
     CountDownLatch goOn = new CountDownLatch(1);
     try (FakeServer host = Rig.blockingHost("/dispatch/wait", goOn);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
-        Rig rig = new Rig(60 + 56 + Operators.DESCRIPTORS, discovery, host)) {
+        Rig rig = new Rig(60 + 56 + Management.DESCRIPTORS, discovery, host)) {
       Socket[] first = new Socket[20];
       for (int i = 0; i < first.length; i++) {
         first[i] = rig.connect();
@@ -151,7 +151,7 @@
   @ParameterizedTest
   @EnumSource
   void whileItWaitsForAConnection(Disconnection disconnection) throws Exception {
-    try (LateListener late = new LateListener();
+    try (FullBacklogListener late = new FullBacklogListener();
         FakeDiscovery discovery =
             new FakeDiscovery(Rig.list(1, true, Rig.entry(late.address(), "Ready")));
         Rig rig = new Rig(160, discovery.server);
@@ -163,7 +163,7 @@
       disconnection.apply(client);
       rig.runLoopIterations();
       assertThat(rig.metric("in_progress")).isZero();
-      assertThat(late.letIn()).isZero();
+      assertThat(late.acceptAndCountSenders()).isZero();
       assertThat(rig.metric("upstream_tries")).isZero();
     }
   }
--- a/src/test/java/hazelspoke/node/ListEndingsTest.java
+++ b/src/test/java/hazelspoke/node/ListEndingsTest.java
@@ -80,7 +80,7 @@
   /** The connection to the host that drains comes up only after the news. */
   @Test
   void whatWaitsForAConnectionToAHostThatBeginsToDrainGoesElsewhere() throws Exception {
-    try (LateListener late = new LateListener();
+    try (FullBacklogListener late = new FullBacklogListener();
         FakeServer other = answering("other");
         FakeDiscovery discovery =
             new FakeDiscovery(Rig.list(1, true, Rig.entry(late.address(), READY)));
@@ -94,7 +94,7 @@
           Rig.list(
               2, false, Rig.entry(other.address(), READY), Rig.entry(late.address(), DRAINING)));
       assertThat(Rig.receive(client)).contains(" 200 ").endsWith("other");
-      assertThat(late.letIn()).isZero();
+      assertThat(late.acceptAndCountSenders()).isZero();
     }
   }
 
