--- a/src/main/java/hazelspoke/FleetCommand.java
+++ b/src/main/java/hazelspoke/FleetCommand.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import hazelspoke.agreement.net.FleetSettings;
 import hazelspoke.agreement.net.OperatorClient;
-import hazelspoke.agreement.record.Answer;
 import hazelspoke.agreement.record.Command.Note;
 import hazelspoke.agreement.record.Command.Numbered;
 import hazelspoke.agreement.record.Command.Vouch;
+import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.wire.Fields;
 import hazelspoke.agreement.wire.MalformedException;
 import hazelspoke.config.OperatorsFile;
@@ -142,12 +142,12 @@
     }
 
     /** Tells what has become of a command. */
-    int tell(Answer answer) {
-      if (answer.done()) {
+    int tell(CommandResult answer) {
+      if (answer.succeeded()) {
         out().println("done");
         return 0;
       }
-      err().println("not done: " + answer.why());
+      err().println("not done: " + answer.reason());
       return TURNED_DOWN;
     }
 
--- a/src/main/java/hazelspoke/agreement/engine/Engine.java
+++ b/src/main/java/hazelspoke/agreement/engine/Engine.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.engine;
 
-import hazelspoke.agreement.record.Answer;
 import hazelspoke.agreement.record.Command;
+import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.store.RecordStore;
 import hazelspoke.agreement.wire.MalformedException;
@@ -301,11 +301,11 @@
   /**
    * Puts a command on the record; fails where this is no leader, or nobody knows what became of it.
    */
-  public CompletableFuture<Answer> propose(Command.Numbered command) {
+  public CompletableFuture<CommandResult> propose(Command.Numbered command) {
     if (muted) {
       return CompletableFuture.failedFuture(new IllegalStateException("this voter has failed"));
     }
-    return node.<Answer>replicate(command.bytes()).thenApply(Ordered::getResult);
+    return node.<CommandResult>replicate(command.bytes()).thenApply(Ordered::getResult);
   }
 
   /**
@@ -445,7 +445,7 @@
         return index;
       }
       byte[] entry = (byte[]) operation;
-      Answer answer = record.take(index, entry);
+      CommandResult answer = record.applyEntry(index, entry);
       applied = index;
       store.told(index);
       owner.applied(index, entry);
@@ -455,7 +455,7 @@
     @Override
     public void takeSnapshot(long index, Consumer<Object> pieces) {
       // A change of voters is an entry too, of which the machine is not told.
-      record.pass(index);
+      record.advanceTo(index);
       pieces.accept(record.bytes());
     }
 
@@ -467,7 +467,7 @@
         storeFailed(new IOException("the snapshot up to " + index + " is not readable", e));
         return;
       }
-      record.pass(index);
+      record.advanceTo(index);
       applied = index;
       store.told(index);
       owner.installed(index);
--- a/src/main/java/hazelspoke/agreement/feed/Feed.java
+++ b/src/main/java/hazelspoke/agreement/feed/Feed.java
@@ -58,7 +58,7 @@
   }
 
   private final Turns turns;
-  private final Pace pace;
+  private final FeedSettings pace;
   private final Supplier<FleetRecord> record;
   private final Deque<Kept> kept = new ArrayDeque<>();
   private final Map<String, Place> places = new LinkedHashMap<>();
@@ -87,7 +87,7 @@
    * @param record as it was applied here up to now; never an older one's than what was pushed but
    *     while the engine catches up with itself after a restart
    */
-  public Feed(Turns turns, Pace pace, Supplier<FleetRecord> record) {
+  public Feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
     this.turns = turns;
     this.pace = pace;
     this.record = record;
--- a/src/main/java/hazelspoke/agreement/feed/Pace.java
+++ b/src/main/java/hazelspoke/agreement/feed/FeedSettings.java
@@ -11,7 +11,7 @@
  * @param keptEntries so many are kept for followers that are behind; beyond that a snapshot is due
  * @param keptBytes of these, at most
  */
-public record Pace(
+public record FeedSettings(
     long flushNanos,
     long followNanos,
     int pieceBytes,
@@ -19,7 +19,8 @@
     int keptEntries,
     int keptBytes) {
   /** Four signs of life of a leader, and a tenth of one. */
-  public static Pace usual(long heartbeatNanos) {
-    return new Pace(heartbeatNanos / 10, 4 * heartbeatNanos, 32 << 10, 4 << 20, 4_096, 1 << 20);
+  public static FeedSettings defaults(long heartbeatNanos) {
+    return new FeedSettings(
+        heartbeatNanos / 10, 4 * heartbeatNanos, 32 << 10, 4 << 20, 4_096, 1 << 20);
   }
 }
--- a/src/main/java/hazelspoke/agreement/feed/Follower.java
+++ b/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
@@ -24,7 +24,7 @@
  * <p>Whose turn it is as a leader need not be known: a voter pushes only what it has applied, which
  * is agreed on, and so is the same from whomever it comes.
  */
-public class Follower {
+public class FeedSubscriber {
   /** The packet by which a member follows a voter. */
   public static final String FOLLOW = "follow";
 
@@ -51,7 +51,7 @@
   private final String self;
   private final Turns turns;
   private final Random random;
-  private final Pace pace;
+  private final FeedSettings pace;
   private final Supplier<List<String>> voters;
   private final Owner owner;
   private final Deque<Told> told = new ArrayDeque<>();
@@ -70,7 +70,7 @@
   private boolean served;
 
   private boolean asked;
-  private OptionalLong currentAt = OptionalLong.empty();
+  private OptionalLong currentAsOfNanos = OptionalLong.empty();
   private long of = -1;
   private byte[] snapshot = {};
   private int taken;
@@ -81,11 +81,11 @@
    *
    * @param voters whose votes count, as far as is known
    */
-  public Follower(
+  public FeedSubscriber(
       String self,
       Turns turns,
       Random random,
-      Pace pace,
+      FeedSettings pace,
       Supplier<List<String>> voters,
       Owner owner) {
     this.self = self;
@@ -112,8 +112,8 @@
   }
 
   /** The record was no further than is known here at this time, in ns; empty before the first. */
-  public OptionalLong currentAt() {
-    return currentAt;
+  public OptionalLong currentAsOfNanos() {
+    return currentAsOfNanos;
   }
 
   /**
@@ -205,7 +205,7 @@
     for (Fields entry : in.list("entries")) {
       long index = entry.number("index");
       if (index > known.index()) {
-        known.take(index, entry.bytes("entry"));
+        known.applyEntry(index, entry.bytes("entry"));
         news = true;
       }
     }
@@ -280,8 +280,8 @@
   }
 
   private void current(long at) {
-    if (currentAt.isEmpty() || at - currentAt.getAsLong() > 0) {
-      currentAt = OptionalLong.of(at);
+    if (currentAsOfNanos.isEmpty() || at - currentAsOfNanos.getAsLong() > 0) {
+      currentAsOfNanos = OptionalLong.of(at);
     }
   }
 
--- a/src/main/java/hazelspoke/agreement/member/Founding.java
+++ b/src/main/java/hazelspoke/agreement/member/Bootstrap.java
@@ -12,12 +12,12 @@
  * over from anybody who has it. Who finds a record founded with another folder under its name does
  * not vote; it waits to be made a voter, as its first folder may have voted.
  */
-final class Founding {
+final class Bootstrap {
   private final List<String> voters;
   private final VoterId self;
   private final Map<String, String> heard = new HashMap<>();
 
-  Founding(List<String> voters, VoterId self) {
+  Bootstrap(List<String> voters, VoterId self) {
     this.voters = voters;
     this.self = self;
     heard.put(self.member(), self.home());
--- a/src/main/java/hazelspoke/agreement/member/Parts.java
+++ b/src/main/java/hazelspoke/agreement/member/Components.java
@@ -3,8 +3,8 @@
 import hazelspoke.agreement.engine.Engine;
 import hazelspoke.agreement.engine.Turns;
 import hazelspoke.agreement.feed.Feed;
-import hazelspoke.agreement.feed.Follower;
-import hazelspoke.agreement.feed.Pace;
+import hazelspoke.agreement.feed.FeedSettings;
+import hazelspoke.agreement.feed.FeedSubscriber;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.wire.MalformedException;
 import java.util.List;
@@ -12,9 +12,9 @@
 import java.util.function.Supplier;
 
 /** What a member is put together from; a proof puts in parts that lack a guard. */
-class Parts {
-  Terms terms(MemberSettings settings, long tickNanos) {
-    return new Terms(settings.termNanos(), settings.drift(), tickNanos);
+class Components {
+  SessionLeases terms(MemberSettings settings, long tickNanos) {
+    return new SessionLeases(settings.leaseNanos(), settings.drift(), tickNanos);
   }
 
   /**
@@ -24,7 +24,7 @@
    * @param now when it heard of that
    */
   long heldUntil(MemberSettings settings, long askedAt, long now) {
-    return askedAt + (long) (settings.termNanos() * (1 - settings.drift()));
+    return askedAt + (long) (settings.leaseNanos() * (1 - settings.drift()));
   }
 
   /** An election takes some five heartbeats; after so many without a leader something is stuck. */
@@ -42,22 +42,22 @@
     return true;
   }
 
-  Pace pace(MemberSettings settings) {
-    return Pace.usual(settings.heartbeatNanos());
+  FeedSettings pace(MemberSettings settings) {
+    return FeedSettings.defaults(settings.heartbeatNanos());
   }
 
-  Feed feed(Turns turns, Pace pace, Supplier<FleetRecord> record) {
+  Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
     return new Feed(turns, pace, record);
   }
 
-  Follower follower(
+  FeedSubscriber follower(
       String self,
       Turns turns,
       Random random,
-      Pace pace,
+      FeedSettings pace,
       Supplier<List<String>> voters,
-      Follower.Owner owner) {
-    return new Follower(self, turns, random, pace, voters, owner);
+      FeedSubscriber.Owner owner) {
+    return new FeedSubscriber(self, turns, random, pace, voters, owner);
   }
 
   Engine engine(Engine.Setup setup) throws MalformedException {
--- a/src/main/java/hazelspoke/agreement/member/View.java
+++ b/src/main/java/hazelspoke/agreement/member/FleetView.java
@@ -9,10 +9,10 @@
  *
  * @param record as far as it is known; never null, to be read within the same turn, as entries that
  *     come change it
- * @param currentAt the record went no further then, on its own monotonic clock, in ns; empty while
- *     that is not known of any time
+ * @param currentAsOfNanos the record went no further then, on its own monotonic clock, in ns; empty
+ *     while that is not known of any time
  * @param leader empty if it knows of none
  * @param voters the names of those whose votes count
  */
-public record View(
-    FleetRecord record, OptionalLong currentAt, String leader, List<String> voters) {}
+public record FleetView(
+    FleetRecord record, OptionalLong currentAsOfNanos, String leader, List<String> voters) {}
--- a/src/main/java/hazelspoke/agreement/member/Calls.java
+++ b/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
@@ -18,7 +18,7 @@
  * else to a voter by chance; who is asked and does not lead names whom it takes for the leader. A
  * call whose answer does not come is made again, elsewhere, until it is given up.
  */
-final class Calls {
+final class LeaderCalls {
   /** So many calls may be under way; further ones fail at once. */
   static final int MOST = 256;
 
@@ -59,7 +59,7 @@
   record Reply(String from, long askedAt, Fields fields) {}
 
   private final String self;
-  private final Wire wire;
+  private final Transport wire;
   private final Turns turns;
   private final Random random;
   private final long patience;
@@ -79,7 +79,8 @@
   /**
    * @param patienceNanos how long one attempt waits for its answer
    */
-  Calls(MemberSettings settings, Wire wire, Turns turns, Random random, long patienceNanos) {
+  LeaderCalls(
+      MemberSettings settings, Transport wire, Turns turns, Random random, long patienceNanos) {
     self = settings.self();
     members = settings.members();
     voters = settings.voters();
--- a/src/main/java/hazelspoke/agreement/member/Leadership.java
+++ b/src/main/java/hazelspoke/agreement/member/Leadership.java
@@ -3,11 +3,11 @@
 import hazelspoke.agreement.engine.Engine;
 import hazelspoke.agreement.engine.Turns;
 import hazelspoke.agreement.engine.VoterId;
-import hazelspoke.agreement.record.Answer;
 import hazelspoke.agreement.record.Command;
+import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.record.Session;
-import hazelspoke.agreement.record.Session.Standing;
+import hazelspoke.agreement.record.Session.Status;
 import hazelspoke.agreement.wire.Cbor;
 import hazelspoke.agreement.wire.Fields;
 import hazelspoke.agreement.wire.MalformedException;
@@ -31,18 +31,18 @@
   private static final int MOST_WAITING = 4_096;
 
   private final Turns turns;
-  private final Wire wire;
+  private final Transport wire;
   private final Member.Listener listener;
-  private final Terms terms;
+  private final SessionLeases terms;
   private final String origin;
   private final long tickNanos;
-  private final Growth growth;
+  private final VoterChanges growth;
   private List<Runnable> waiting = new ArrayList<>();
   private List<Runnable> refused = new ArrayList<>();
   private boolean confirming;
   private long numbers;
   private long ticks;
-  private final boolean refusalCounts;
+  private final boolean refusalProvesEnd;
   private Engine engine;
   private boolean ended;
 
@@ -50,15 +50,15 @@
       MemberSettings settings,
       Turns turns,
       Random random,
-      Wire wire,
+      Transport wire,
       Member.Listener listener,
-      Parts parts) {
+      Components parts) {
     this.wire = wire;
-    growth = new Growth(settings, random, turns, wire, parts);
-    refusalCounts = settings.refusalCounts();
+    growth = new VoterChanges(settings, random, turns, wire, parts);
+    refusalProvesEnd = settings.refusalProvesEnd();
     this.turns = turns;
     this.listener = listener;
-    tickNanos = Math.max(1, settings.termNanos() / 20);
+    tickNanos = Math.max(1, settings.leaseNanos() / 20);
     terms = parts.terms(settings, tickNanos);
     origin = settings.self() + "/leads/" + Long.toHexString(random.nextLong());
   }
@@ -98,7 +98,7 @@
       for (Session session : terms.tick(turns.nanos(), engine.record().sessions())) {
         lapse(session);
       }
-      if (refusalCounts && ++ticks % PROBE_TICKS == 0) {
+      if (refusalProvesEnd && ++ticks % PROBE_TICKS == 0) {
         probe();
       }
     }
@@ -108,7 +108,7 @@
   /** Whether the silent ones are over: then nobody listens at their ports. */
   private void probe() {
     for (Session session : engine.record().sessions()) {
-      if (session.standing() == Standing.SILENT) {
+      if (session.status() == Status.SILENT) {
         // The attempt begins after this incarnation has joined, so a refusal is about its end.
         wire.probe(
             session.member(),
@@ -138,7 +138,7 @@
             });
   }
 
-  private CompletableFuture<Answer> propose(Command command) {
+  private CompletableFuture<CommandResult> propose(Command command) {
     return engine.propose(new Command.Numbered(origin, ++numbers, command));
   }
 
@@ -154,12 +154,12 @@
     if (!leads()) {
       VoterId leader = engine == null ? null : engine.leader();
       String hint = leader == null ? heard : leader.member();
-      reply.put("outcome", Calls.Outcome.NOT_ME.name());
+      reply.put("outcome", LeaderCalls.Outcome.NOT_ME.name());
       reply.put("leader", hint == null ? "" : hint);
       answer.accept(Cbor.write(reply));
       return;
     }
-    Consumer<Calls.Outcome> send =
+    Consumer<LeaderCalls.Outcome> send =
         outcome -> {
           reply.put("outcome", outcome.name());
           answer.accept(Cbor.write(reply));
@@ -176,16 +176,16 @@
               () -> {
                 howFar(reply);
                 reply.put("state", engine.record().bytes());
-                send.accept(Calls.Outcome.DONE);
+                send.accept(LeaderCalls.Outcome.DONE);
               },
               send);
-      case "voter" -> voter(in.truth("add"), in.text("member"), reply, send);
+      case "voter" -> changeVoter(in.truth("add"), in.text("member"), reply, send);
       default -> throw new MalformedException("unknown call " + in.text("call"));
     }
   }
 
   private void command(
-      String from, Fields in, Map<String, Object> reply, Consumer<Calls.Outcome> send)
+      String from, Fields in, Map<String, Object> reply, Consumer<LeaderCalls.Outcome> send)
       throws MalformedException {
     Command.Numbered command = Command.Numbered.read(in.bytes("command"));
     if (!mayGive(from, command.command())) {
@@ -199,7 +199,7 @@
                 reply.put("answer", answer.fields());
                 howFar(reply);
               }
-              send.accept(failure == null ? Calls.Outcome.DONE : Calls.Outcome.LATER);
+              send.accept(failure == null ? LeaderCalls.Outcome.DONE : LeaderCalls.Outcome.LATER);
             });
   }
 
@@ -220,21 +220,22 @@
       long incarnation,
       long life,
       Map<String, Object> reply,
-      Consumer<Calls.Outcome> send) {
+      Consumer<LeaderCalls.Outcome> send) {
     FleetRecord record = engine.record();
     Session session = record.session(from);
-    boolean its = session != null && session.incarnation() == incarnation && session.life() == life;
-    if (its && session.standing() == Standing.THERE) {
+    boolean its =
+        session != null && session.incarnation() == incarnation && session.sessionEpoch() == life;
+    if (its && session.status() == Status.THERE) {
       if (terms.isLapsing(session)) {
         // Its lapse is under way: to say that it holds could turn out wrong.
-        send.accept(Calls.Outcome.LATER);
+        send.accept(LeaderCalls.Outcome.LATER);
         return;
       }
       terms.renewed(session, turns.nanos());
     }
-    reply.put("standing", its ? session.standing().name() : "");
+    reply.put("standing", its ? session.status().name() : "");
     howFar(reply);
-    send.accept(Calls.Outcome.DONE);
+    send.accept(LeaderCalls.Outcome.DONE);
   }
 
   /**
@@ -250,40 +251,42 @@
     reply.put("voters", engine.voters().stream().map(VoterId::member).distinct().toList());
   }
 
-  private void voter(
-      boolean add, String member, Map<String, Object> reply, Consumer<Calls.Outcome> send) {
+  private void changeVoter(
+      boolean add, String member, Map<String, Object> reply, Consumer<LeaderCalls.Outcome> send) {
     Session session = engine.record().session(member);
     String not = growth.mayNot(add, member, session);
     if (not != null) {
-      reply.put("answer", new Answer(false, 0, not).fields());
+      reply.put("answer", new CommandResult(false, 0, not).fields());
       voters(reply);
-      send.accept(Calls.Outcome.DONE);
+      send.accept(LeaderCalls.Outcome.DONE);
       return;
     }
     CompletableFuture<Void> change =
-        add ? growth.add(member, session.home()) : growth.remove(member);
+        add ? growth.add(member, session.storeId()) : growth.remove(member);
     change.whenComplete(
         (x, failure) -> {
-          String why = Growth.notFilled(failure);
+          String why = VoterChanges.notFilled(failure);
           if (failure == null) {
             listener.event((add ? "added" : "removed") + " voter=" + member);
           }
           if (failure == null || why != null) {
             long index = engine.record().index();
-            reply.put("answer", new Answer(why == null, index, why == null ? "" : why).fields());
+            reply.put(
+                "answer", new CommandResult(why == null, index, why == null ? "" : why).fields());
             voters(reply);
           }
-          send.accept(reply.containsKey("answer") ? Calls.Outcome.DONE : Calls.Outcome.LATER);
+          send.accept(
+              reply.containsKey("answer") ? LeaderCalls.Outcome.DONE : LeaderCalls.Outcome.LATER);
         });
   }
 
-  private void confirmed(Runnable then, Consumer<Calls.Outcome> send) {
+  private void confirmed(Runnable then, Consumer<LeaderCalls.Outcome> send) {
     if (waiting.size() >= MOST_WAITING) {
-      send.accept(Calls.Outcome.LATER);
+      send.accept(LeaderCalls.Outcome.LATER);
       return;
     }
     waiting.add(then);
-    refused.add(() -> send.accept(Calls.Outcome.LATER));
+    refused.add(() -> send.accept(LeaderCalls.Outcome.LATER));
     confirm();
   }
 
--- a/src/main/java/hazelspoke/agreement/member/OwnSession.java
+++ b/src/main/java/hazelspoke/agreement/member/LocalSession.java
@@ -1,9 +1,9 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.engine.Turns;
-import hazelspoke.agreement.record.Answer;
 import hazelspoke.agreement.record.Command;
-import hazelspoke.agreement.record.Session.Standing;
+import hazelspoke.agreement.record.CommandResult;
+import hazelspoke.agreement.record.Session.Status;
 import hazelspoke.agreement.wire.MalformedException;
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
@@ -16,10 +16,10 @@
  * asked, shorter by what clocks may be off. Found silent it says that it is back; found over, or
  * another's, it begins a new life.
  */
-final class OwnSession {
+final class LocalSession {
   /** Takes over what a leader tells of the record. */
   interface Learner {
-    void learn(Calls.Reply reply) throws MalformedException;
+    void learn(LeaderCalls.Reply reply) throws MalformedException;
   }
 
   private static final int RENEWALS_A_TERM = 4;
@@ -29,12 +29,12 @@
 
   private final MemberSettings settings;
   private final String home;
-  private final Calls calls;
+  private final LeaderCalls calls;
   private final Turns turns;
   private final Random random;
   private final Learner learner;
   private final Member.Listener listener;
-  private final Parts parts;
+  private final Components parts;
   private long life;
   private long numbers;
   private long incarnation;
@@ -52,15 +52,15 @@
   private boolean wasHeld;
   private boolean stopped;
 
-  OwnSession(
+  LocalSession(
       MemberSettings settings,
-      Home home,
-      Calls calls,
+      StoreIdentity home,
+      LeaderCalls calls,
       Turns turns,
       Random random,
       Learner learner,
       Member.Listener listener,
-      Parts parts) {
+      Components parts) {
     this.parts = parts;
     this.settings = settings;
     this.home = home.name();
@@ -89,7 +89,7 @@
     return incarnation;
   }
 
-  boolean holds() {
+  boolean hasValidLease() {
     return renewed && !stopped && turns.nanos() - heldUntil < 0;
   }
 
@@ -103,9 +103,9 @@
   }
 
   /** One after the other: of two under way the later one could make the earlier one void. */
-  CompletableFuture<Answer> ask(Command command, long forNanos) {
-    CompletableFuture<Answer> answer = new CompletableFuture<>();
-    if (queue.size() >= Calls.MOST) {
+  CompletableFuture<CommandResult> submit(Command command, long forNanos) {
+    CompletableFuture<CommandResult> answer = new CompletableFuture<>();
+    if (queue.size() >= LeaderCalls.MOST) {
       answer.completeExceptionally(new IllegalStateException("too many commands wait"));
       return answer;
     }
@@ -119,7 +119,7 @@
         });
     queue.add(
         () ->
-            ask(numbered, forNanos)
+            submit(numbered, forNanos)
                 .whenComplete(
                     (done, failure) -> {
                       if (failure == null) {
@@ -135,14 +135,14 @@
   }
 
   /** A command of somebody else's, who numbers it. */
-  CompletableFuture<Answer> ask(Command.Numbered command, long forNanos) {
+  CompletableFuture<CommandResult> submit(Command.Numbered command, long forNanos) {
     Map<String, Object> call = new LinkedHashMap<>();
     call.put("call", "command");
     call.put("command", command.bytes());
     return answer(calls.call(call, forNanos));
   }
 
-  CompletableFuture<Answer> voter(boolean add, String member, long forNanos) {
+  CompletableFuture<CommandResult> changeVoter(boolean add, String member, long forNanos) {
     Map<String, Object> call = new LinkedHashMap<>();
     call.put("call", "voter");
     call.put("add", add);
@@ -150,7 +150,7 @@
     return answer(calls.call(call, forNanos));
   }
 
-  private CompletableFuture<Answer> answer(CompletableFuture<Calls.Reply> reply) {
+  private CompletableFuture<CommandResult> answer(CompletableFuture<LeaderCalls.Reply> reply) {
     return reply.thenApply(
         r -> {
           try {
@@ -158,14 +158,14 @@
             if (incarnation == 0 && r.fields().has("index")) {
               joinedAt = r.fields().number("index");
             }
-            return Answer.read(r.fields().fields("answer"));
+            return CommandResult.read(r.fields().fields("answer"));
           } catch (MalformedException e) {
             throw new IllegalStateException("unreadable answer: " + e.getMessage(), e);
           }
         });
   }
 
-  CompletableFuture<Calls.Reply> call(String what, long forNanos) {
+  CompletableFuture<LeaderCalls.Reply> call(String what, long forNanos) {
     Map<String, Object> call = new LinkedHashMap<>();
     call.put("call", what);
     return calls.call(call, forNanos);
@@ -176,7 +176,7 @@
       return;
     }
     long of = life;
-    ask(new Command.Join(settings.self(), home, life, settings.address()), settings.termNanos())
+    submit(new Command.Join(settings.self(), home, life, settings.address()), settings.leaseNanos())
         .whenComplete(
             (answer, failure) -> {
               if (of != life || stopped) {
@@ -185,13 +185,13 @@
               if (failure != null) {
                 listener.event("waits for=join why=\"" + failure.getMessage() + "\"");
                 later(this::join);
-              } else if (answer.done()) {
+              } else if (answer.succeeded()) {
                 incarnation = answer.number();
                 listener.event("joined incarnation=" + incarnation);
                 renew();
               } else {
-                listener.event("refused why=\"" + answer.why() + "\"");
-                turns.after(settings.termNanos() / RENEWALS_A_TERM, this::begin);
+                listener.event("refused why=\"" + answer.reason() + "\"");
+                turns.after(settings.leaseNanos() / RENEWALS_A_TERM, this::begin);
               }
             });
   }
@@ -206,7 +206,7 @@
     call.put("incarnation", incarnation);
     call.put("life", life);
     calls
-        .call(call, settings.termNanos())
+        .call(call, settings.leaseNanos())
         .whenComplete(
             (reply, failure) -> {
               if (of == life && !stopped) {
@@ -215,8 +215,8 @@
             });
   }
 
-  private void renewed(Calls.Reply reply, Throwable failure) {
-    if (wasHeld && !holds()) {
+  private void renewed(LeaderCalls.Reply reply, Throwable failure) {
+    if (wasHeld && !hasValidLease()) {
       wasHeld = false;
       listener.event("alone incarnation=" + incarnation);
     }
@@ -233,16 +233,16 @@
       later(this::renew);
       return;
     }
-    if (standing.equals(Standing.THERE.name())) {
+    if (standing.equals(Status.THERE.name())) {
       heldUntil = parts.heldUntil(settings, reply.askedAt(), turns.nanos());
       renewed = true;
-      if (!wasHeld && holds()) {
+      if (!wasHeld && hasValidLease()) {
         wasHeld = true;
         listener.event("holds incarnation=" + incarnation);
       }
       later(this::renew);
-    } else if (standing.equals(Standing.SILENT.name())) {
-      ask(new Command.Back(settings.self(), incarnation), settings.termNanos())
+    } else if (standing.equals(Status.SILENT.name())) {
+      submit(new Command.Back(settings.self(), incarnation), settings.leaseNanos())
           .whenComplete((answer, lost) -> renew());
     } else {
       listener.event("over incarnation=" + incarnation + " standing=" + standing);
@@ -252,12 +252,12 @@
 
   private void later(Runnable what) {
     double part = 0.9 + 0.2 * random.nextDouble();
-    turns.after((long) (settings.termNanos() / RENEWALS_A_TERM * part), what);
+    turns.after((long) (settings.leaseNanos() / RENEWALS_A_TERM * part), what);
   }
 
-  CompletableFuture<Answer> leave(long forNanos) {
+  CompletableFuture<CommandResult> leave(long forNanos) {
     if (incarnation == 0) {
-      return CompletableFuture.completedFuture(new Answer(true, 0, ""));
+      return CompletableFuture.completedFuture(new CommandResult(true, 0, ""));
     }
     renewed = false;
     long gone = incarnation;
@@ -265,6 +265,6 @@
     // Whatever is under way is an answer to a life that is over.
     life++;
     numbers = 0;
-    return ask(new Command.Leave(settings.self(), gone), forNanos);
+    return submit(new Command.Leave(settings.self(), gone), forNanos);
   }
 }
--- a/src/main/java/hazelspoke/agreement/member/Member.java
+++ b/src/main/java/hazelspoke/agreement/member/Member.java
@@ -4,10 +4,10 @@
 import hazelspoke.agreement.engine.Turns;
 import hazelspoke.agreement.engine.VoterId;
 import hazelspoke.agreement.feed.Feed;
-import hazelspoke.agreement.feed.Follower;
-import hazelspoke.agreement.feed.Pace;
-import hazelspoke.agreement.record.Answer;
+import hazelspoke.agreement.feed.FeedSettings;
+import hazelspoke.agreement.feed.FeedSubscriber;
 import hazelspoke.agreement.record.Command;
+import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.store.Disk;
 import hazelspoke.agreement.store.RecordStore;
@@ -46,20 +46,20 @@
   private final MemberSettings settings;
   private final Turns turns;
   private final Random random;
-  private final Wire wire;
+  private final Transport wire;
   private final Disk disk;
   private final Listener listener;
-  private final Parts parts;
-  private final Calls calls;
-  private final OwnSession session;
+  private final Components parts;
+  private final LeaderCalls calls;
+  private final LocalSession session;
   private final Leadership leadership;
 
-  private Home home;
-  private Founding founding;
+  private StoreIdentity home;
+  private Bootstrap founding;
   private Engine engine;
   private RecordStore store;
   private final Feed feed;
-  private final Follower follower;
+  private final FeedSubscriber follower;
   private int asked;
   private boolean diskFailed;
   private boolean stopped;
@@ -72,9 +72,14 @@
    * @throws WrongFolderException if it is another member's
    */
   public Member(
-      MemberSettings settings, Disk disk, Turns turns, Random random, Wire wire, Listener listener)
-      throws IOException, WrongFolderException {
-    this(settings, disk, turns, random, wire, listener, new Parts());
+      MemberSettings settings,
+      Disk disk,
+      Turns turns,
+      Random random,
+      Transport wire,
+      Listener listener)
+      throws IOException, WrongDataDirectoryException {
+    this(settings, disk, turns, random, wire, listener, new Components());
   }
 
   Member(
@@ -82,10 +87,10 @@
       Disk disk,
       Turns turns,
       Random random,
-      Wire wire,
+      Transport wire,
       Listener listener,
-      Parts parts)
-      throws IOException, WrongFolderException {
+      Components parts)
+      throws IOException, WrongDataDirectoryException {
     this.settings = settings;
     this.parts = parts;
     this.disk = disk;
@@ -94,17 +99,17 @@
     this.wire = wire;
     this.listener = listener;
     try {
-      home = Home.open(disk, settings.fleet(), settings.self(), random);
+      home = StoreIdentity.open(disk, settings.fleet(), settings.self(), random);
       openStore();
     } catch (MalformedException | StoreDamagedException e) {
       // What it has voted may be among what is gone, so it must never vote under that name again.
       listener.event("damaged why=\"" + e.getMessage() + "\" then=\"waits to be made a voter\"");
-      home = Home.renew(disk, settings.fleet(), settings.self(), random);
+      home = StoreIdentity.renew(disk, settings.fleet(), settings.self(), random);
     }
     long patience = 4 * settings.heartbeatNanos();
-    calls = new Calls(settings, wire, turns, random, patience);
-    session = new OwnSession(settings, home, calls, turns, random, this::learn, listener, parts);
-    Pace pace = parts.pace(settings);
+    calls = new LeaderCalls(settings, wire, turns, random, patience);
+    session = new LocalSession(settings, home, calls, turns, random, this::learn, listener, parts);
+    FeedSettings pace = parts.pace(settings);
     feed = parts.feed(turns, pace, () -> engine.record());
     follower =
         parts.follower(settings.self(), turns, random, pace, calls::voters, new FollowerOwner());
@@ -113,7 +118,7 @@
       startEngine();
       watch();
     } else if (settings.isVoter()) {
-      founding = new Founding(settings.voters(), home.voter());
+      founding = new Bootstrap(settings.voters(), home.voter());
       found(founding.heardNew(settings.self(), home.name()));
       askWho();
     }
@@ -236,7 +241,7 @@
    *
    * @param back the way to who sent it, for answers
    */
-  public void received(String from, byte[] packet, Consumer<byte[]> back) {
+  public void receive(String from, byte[] packet, Consumer<byte[]> back) {
     if (stopped) {
       return;
     }
@@ -305,7 +310,7 @@
     if (!in.text("home").equals(home.name()) || diskFailed) {
       return;
     }
-    Home.Invitation invitation = Home.Invitation.read(in);
+    StoreIdentity.Invitation invitation = StoreIdentity.Invitation.read(in);
     if (invitation.isNewerThan(home.invitation())) {
       home.invite(invitation);
       if (engine != null) {
@@ -341,7 +346,7 @@
     leadership.ends();
   }
 
-  private void learn(Calls.Reply reply) throws MalformedException {
+  private void learn(LeaderCalls.Reply reply) throws MalformedException {
     calls.voters(reply.fields().texts("voters"));
     if (reply.fields().has("index")) {
       follower.told(reply.from(), reply.fields().number("index"), reply.askedAt());
@@ -350,13 +355,13 @@
   }
 
   /** Puts a command on the record, once, however often it is asked again for it. */
-  public CompletableFuture<Answer> ask(Command command) {
-    return session.ask(command, PATIENCE_TERMS * settings.termNanos());
+  public CompletableFuture<CommandResult> submit(Command command) {
+    return session.submit(command, PATIENCE_TERMS * settings.leaseNanos());
   }
 
   /** The same for somebody who numbers commands, and may ask several members for the same. */
-  public CompletableFuture<Answer> ask(Command.Numbered command, long forNanos) {
-    return session.ask(command, forNanos);
+  public CompletableFuture<CommandResult> submit(Command.Numbered command, long forNanos) {
+    return session.submit(command, forNanos);
   }
 
   /** What the record says, no older than this call. */
@@ -375,8 +380,8 @@
   }
 
   /** Makes a member a voter, or ends its vote. */
-  public CompletableFuture<Answer> voter(boolean add, String member, long forNanos) {
-    return session.voter(add, member, forNanos);
+  public CompletableFuture<CommandResult> changeVoter(boolean add, String member, long forNanos) {
+    return session.changeVoter(add, member, forNanos);
   }
 
   /** Whether it has joined and read the record as of then or later, in this life. */
@@ -385,8 +390,8 @@
   }
 
   /** Whether its session holds by its own clock; if not it is alone. */
-  public boolean holds() {
-    return session.holds();
+  public boolean hasValidLease() {
+    return session.hasValidLease();
   }
 
   /** Its incarnation; 0 while it has none. */
@@ -395,20 +400,23 @@
   }
 
   /** Whether this member leads, as far as it knows. */
-  public boolean leads() {
+  public boolean isLeader() {
     return engine != null && engine.leads();
   }
 
   /** The engine's record where there is one, else null; for those who judge it from outside. */
-  FleetRecord applied() {
+  FleetRecord appliedRecord() {
     return engine == null ? null : engine.record();
   }
 
   /** What is known here. */
-  public View view() {
-    String leader = leads() ? settings.self() : calls.leader();
-    return new View(
-        follower.record(), follower.currentAt(), leader == null ? "" : leader, calls.voters());
+  public FleetView view() {
+    String leader = isLeader() ? settings.self() : calls.leader();
+    return new FleetView(
+        follower.record(),
+        follower.currentAsOfNanos(),
+        leader == null ? "" : leader,
+        calls.voters());
   }
 
   /** Says that it goes for good, and stops once that is on the record or the time is over. */
@@ -443,7 +451,7 @@
     }
   }
 
-  private final class FollowerOwner implements Follower.Owner {
+  private final class FollowerOwner implements FeedSubscriber.Owner {
     @Override
     public void send(String voter, byte[] packet) {
       wire.send(voter, packet);
--- a/src/main/java/hazelspoke/agreement/member/Packets.java
+++ b/src/main/java/hazelspoke/agreement/member/Packets.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.feed.Feed;
-import hazelspoke.agreement.feed.Follower;
+import hazelspoke.agreement.feed.FeedSubscriber;
 import hazelspoke.agreement.wire.Cbor;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -28,7 +28,7 @@
   static final String FILLED = "filled";
 
   /** Says that a member follows a voter's feed; see {@link hazelspoke.agreement.feed}. */
-  static final String FOLLOW = Follower.FOLLOW;
+  static final String FOLLOW = FeedSubscriber.FOLLOW;
 
   static final String ENTRIES = Feed.ENTRIES;
 
--- a/src/main/java/hazelspoke/agreement/member/Terms.java
+++ b/src/main/java/hazelspoke/agreement/member/SessionLeases.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.record.Session;
-import hazelspoke.agreement.record.Session.Standing;
+import hazelspoke.agreement.record.Session.Status;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
  * renewal, and is longer than the holder's own count by what both clocks may be off. What the
  * leader itself was late counts against nobody.
  */
-class Terms {
+class SessionLeases {
   private record Count(long incarnation, long since, long endsAt, boolean lapsing) {}
 
   private final long length;
@@ -24,8 +24,8 @@
   /**
    * @param tickNanos how often {@link #tick} is called
    */
-  Terms(long termNanos, double drift, long tickNanos) {
-    length = (long) (termNanos * (1 + drift));
+  SessionLeases(long leaseNanos, double drift, long tickNanos) {
+    length = (long) (leaseNanos * (1 + drift));
     tick = tickNanos;
   }
 
@@ -41,7 +41,7 @@
   }
 
   private Count count(Session session, long now) {
-    return new Count(session.incarnation(), session.since(), now + length, false);
+    return new Count(session.incarnation(), session.sinceIndex(), now + length, false);
   }
 
   /**
@@ -51,7 +51,7 @@
     Count count = counts.get(session.member());
     return count != null
         && count.incarnation == session.incarnation()
-        && count.since == session.since()
+        && count.since == session.sinceIndex()
         && count.lapsing;
   }
 
@@ -70,11 +70,11 @@
     List<Session> over = new ArrayList<>();
     for (Session session : sessions) {
       Count count = counts.get(session.member());
-      if (session.standing() != Standing.THERE) {
+      if (session.status() != Status.THERE) {
         counts.remove(session.member());
       } else if (count == null
           || count.incarnation != session.incarnation()
-          || count.since != session.since()) {
+          || count.since != session.sinceIndex()) {
         counts.put(session.member(), count(session, now));
       } else if (!count.lapsing) {
         long endsAt = count.endsAt + late;
--- a/src/main/java/hazelspoke/agreement/member/Home.java
+++ b/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
@@ -21,7 +21,7 @@
  * A data folder's own name, which it gets when it is new and which no other folder has. Votes and
  * sessions name it, so that a folder that was lost is never taken for the one that is there.
  */
-final class Home {
+final class StoreIdentity {
   private static final String FILE = "member";
   private static final String ASIDE = "aside-member";
   private static final String DAMAGED = "damaged-";
@@ -59,7 +59,7 @@
     }
   }
 
-  private Home(
+  private StoreIdentity(
       Disk disk, String fleet, String member, String name, List<VoterId> founders, long lives) {
     this.lives = lives;
     this.disk = disk;
@@ -75,14 +75,14 @@
    * @throws WrongFolderException if it is another member's, or another fleet's
    * @throws MalformedException if it is not readable, or gone while other files are there
    */
-  static Home open(Disk disk, String fleet, String member, Random random)
-      throws IOException, WrongFolderException, MalformedException {
+  static StoreIdentity open(Disk disk, String fleet, String member, Random random)
+      throws IOException, WrongDataDirectoryException, MalformedException {
     Set<String> files = disk.list();
     if (files.contains(ASIDE)) {
       disk.delete(ASIDE);
     }
     if (files.contains(FILE)) {
-      Home home = read(disk, disk.read(FILE), fleet, member);
+      StoreIdentity home = read(disk, disk.read(FILE), fleet, member);
       home.lives++;
       home.write();
       return home;
@@ -90,13 +90,14 @@
     if (files.stream().anyMatch(f -> !f.equals(ASIDE) && !f.startsWith(DAMAGED))) {
       throw new MalformedException("the file " + FILE + " is gone");
     }
-    Home made = new Home(disk, fleet, member, draw(random), List.of(), 1);
+    StoreIdentity made = new StoreIdentity(disk, fleet, member, draw(random), List.of(), 1);
     made.write();
     return made;
   }
 
   /** Puts aside whatever is there, in place of what was put aside before, and begins anew. */
-  static Home renew(Disk disk, String fleet, String member, Random random) throws IOException {
+  static StoreIdentity renew(Disk disk, String fleet, String member, Random random)
+      throws IOException {
     for (String file : disk.list()) {
       if (file.startsWith(DAMAGED)) {
         disk.delete(file);
@@ -113,7 +114,7 @@
       }
     }
     disk.syncFolder();
-    Home made = new Home(disk, fleet, member, draw(random), List.of(), 1);
+    StoreIdentity made = new StoreIdentity(disk, fleet, member, draw(random), List.of(), 1);
     made.write();
     return made;
   }
@@ -122,8 +123,8 @@
     return String.format(Locale.ROOT, "%016x", random.nextLong());
   }
 
-  private static Home read(Disk disk, byte[] bytes, String fleet, String member)
-      throws WrongFolderException, MalformedException {
+  private static StoreIdentity read(Disk disk, byte[] bytes, String fleet, String member)
+      throws WrongDataDirectoryException, MalformedException {
     int length = bytes.length - Integer.BYTES;
     if (length < 0
         || ByteBuffer.wrap(bytes, length, Integer.BYTES).getInt() != sum(bytes, length)) {
@@ -131,14 +132,15 @@
     }
     Fields in = Cbor.read(Arrays.copyOf(bytes, length));
     if (!in.text("fleet").equals(fleet) || !in.text("member").equals(member)) {
-      throw new WrongFolderException(
+      throw new WrongDataDirectoryException(
           "the data folder belongs to " + in.text("member") + " of " + in.text("fleet"));
     }
     List<VoterId> founders = new ArrayList<>();
     for (String founder : in.texts("founders")) {
       founders.add(VoterId.parse(founder));
     }
-    Home home = new Home(disk, fleet, member, in.text("home"), founders, in.number("lives"));
+    StoreIdentity home =
+        new StoreIdentity(disk, fleet, member, in.text("home"), founders, in.number("lives"));
     home.invitation = in.has("as") ? Invitation.read(in) : Invitation.NONE;
     return home;
   }
--- a/src/main/java/hazelspoke/agreement/member/Wire.java
+++ b/src/main/java/hazelspoke/agreement/member/Transport.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 /** The way to the other members. */
-public interface Wire {
+public interface Transport {
   /** Sends a packet to a member, itself included; it may be lost, and never comes twice. */
   void send(String member, byte[] packet);
 
--- a/src/main/java/hazelspoke/agreement/member/Growth.java
+++ b/src/main/java/hazelspoke/agreement/member/VoterChanges.java
@@ -4,7 +4,7 @@
 import hazelspoke.agreement.engine.Turns;
 import hazelspoke.agreement.engine.VoterId;
 import hazelspoke.agreement.record.Session;
-import hazelspoke.agreement.record.Session.Standing;
+import hazelspoke.agreement.record.Session.Status;
 import hazelspoke.agreement.wire.Cbor;
 import java.util.HashMap;
 import java.util.List;
@@ -20,7 +20,7 @@
  * the member's name before with another folder loses its vote at the last moment, as until then the
  * fleet may need it.
  */
-final class Growth {
+final class VoterChanges {
   /** A member was not filled in time; the message is for operators. */
   private static final class NotFilledException extends RuntimeException {
     private static final long serialVersionUID = 1;
@@ -40,7 +40,7 @@
     CompletableFuture<Void> added;
 
     /** Null until it is agreed that it is filled. */
-    Home.Invitation invitation;
+    StoreIdentity.Invitation invitation;
 
     /** Up to where it has to have the record then. */
     long wanted;
@@ -61,7 +61,7 @@
   private static final int MOST_VOTERS = 7;
 
   private final Turns turns;
-  private final Wire wire;
+  private final Transport wire;
 
   /** Between two invitations. */
   private final long everyNanos;
@@ -72,15 +72,16 @@
   private final Map<String, Invited> invited = new HashMap<>();
   private final String self;
   private final Random random;
-  private final Parts parts;
+  private final Components parts;
   private Engine engine;
   private int handedOver;
   private List<VoterId> founders = List.of();
 
-  Growth(MemberSettings settings, Random random, Turns turns, Wire wire, Parts parts) {
+  VoterChanges(
+      MemberSettings settings, Random random, Turns turns, Transport wire, Components parts) {
     self = settings.self();
     everyNanos = 2 * settings.heartbeatNanos();
-    patienceNanos = FILLED_TERMS * settings.termNanos();
+    patienceNanos = FILLED_TERMS * settings.leaseNanos();
     this.parts = parts;
     this.random = random;
     this.turns = turns;
@@ -114,7 +115,7 @@
   String mayNot(boolean add, String member, Session session) {
     List<VoterId> voters = engine.voters();
     long others = voters.stream().filter(v -> !v.member().equals(member)).count();
-    if (add && (session == null || session.standing() != Standing.THERE)) {
+    if (add && (session == null || session.status() != Status.THERE)) {
       return member + " is not there: a voter has to be, to be filled";
     }
     if (add && others >= MOST_VOTERS) {
@@ -148,7 +149,7 @@
             .learn(voter)
             .thenCompose(
                 entry -> {
-                  one.invitation = new Home.Invitation(voter.home(), engine.term(), entry);
+                  one.invitation = new StoreIdentity.Invitation(voter.home(), engine.term(), entry);
                   // What it applies are entries; a change of voters, as this was one, is none.
                   one.wanted = engine.record().index();
                   invite(one, turns.nanos() + patienceNanos);
--- a/src/main/java/hazelspoke/agreement/member/WrongFolderException.java
+++ b/src/main/java/hazelspoke/agreement/member/WrongDataDirectoryException.java
@@ -1,10 +1,10 @@
 package hazelspoke.agreement.member;
 
 /** A data folder that is another member's; the message is one line. */
-public final class WrongFolderException extends Exception {
+public final class WrongDataDirectoryException extends Exception {
   private static final long serialVersionUID = 1;
 
-  WrongFolderException(String message) {
+  WrongDataDirectoryException(String message) {
     super(message);
   }
 }
--- a/src/main/java/hazelspoke/agreement/net/FleetNode.java
+++ b/src/main/java/hazelspoke/agreement/net/FleetNode.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.net;
 
 import hazelspoke.agreement.member.Member;
-import hazelspoke.agreement.member.WrongFolderException;
+import hazelspoke.agreement.member.WrongDataDirectoryException;
 import hazelspoke.agreement.store.FileDisk;
 import hazelspoke.net.EventLoops;
 import io.netty.channel.EventLoop;
@@ -139,7 +139,7 @@
     throw new IOException(folder + " is used by another process");
   }
 
-  private Void begin() throws IOException, WrongFolderException {
+  private Void begin() throws IOException, WrongDataDirectoryException {
     Random random = new SecureRandom();
     Random own = new Random(random.nextLong());
     member =
@@ -161,7 +161,7 @@
               }
             });
     operators.member(member);
-    long often = Math.max(1, settings.member().termNanos() / 50);
+    long often = Math.max(1, settings.member().leaseNanos() / 50);
     looking = loop.scheduleAtFixedRate(this::look, often, often, TimeUnit.NANOSECONDS);
     return null;
   }
@@ -170,10 +170,10 @@
     if (member == null) {
       return;
     }
-    leads = member.leads();
+    leads = member.isLeader();
     index = member.view().record().index();
     boolean nowJoined = joined || member.hasJoined();
-    boolean nowHolds = member.holds();
+    boolean nowHolds = member.hasValidLease();
     if (nowJoined != joined || nowHolds != holds) {
       joined = nowJoined;
       holds = nowHolds;
@@ -272,7 +272,7 @@
     @Override
     public void packet(String from, byte[] packet, Consumer<byte[]> back) {
       if (member != null) {
-        member.received(from, packet, back);
+        member.receive(from, packet, back);
       }
     }
 
--- a/src/main/java/hazelspoke/agreement/net/OperatorCalls.java
+++ b/src/main/java/hazelspoke/agreement/net/OperatorCalls.java
@@ -1,9 +1,9 @@
 package hazelspoke.agreement.net;
 
+import hazelspoke.agreement.member.FleetView;
 import hazelspoke.agreement.member.Member;
-import hazelspoke.agreement.member.View;
-import hazelspoke.agreement.record.Answer;
 import hazelspoke.agreement.record.Command;
+import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.record.Session;
 import hazelspoke.agreement.wire.Cbor;
@@ -58,10 +58,10 @@
         case "command" ->
             answer(
                 number,
-                member.ask(operators(Command.Numbered.read(in.bytes("command"))), patience),
+                member.submit(operators(Command.Numbered.read(in.bytes("command"))), patience),
                 back);
         case "voter" ->
-            answer(number, member.voter(in.truth("add"), in.text("member"), patience), back);
+            answer(number, member.changeVoter(in.truth("add"), in.text("member"), patience), back);
         default -> back.accept(failure(number, "unknown question " + in.text("ask")));
       }
     } catch (MalformedException e) {
@@ -77,7 +77,8 @@
     throw new MalformedException("operators do not give " + command.command());
   }
 
-  private static void answer(long number, CompletableFuture<Answer> answer, Consumer<byte[]> back) {
+  private static void answer(
+      long number, CompletableFuture<CommandResult> answer, Consumer<byte[]> back) {
     answer.whenComplete(
         (done, lost) -> {
           if (lost != null) {
@@ -101,16 +102,16 @@
   }
 
   private Map<String, Object> status(long number, FleetRecord record) {
-    View view = member.view();
+    FleetView view = member.view();
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("number", number);
     out.put("ok", true);
     out.put("fleet", settings.member().fleet());
     out.put("self", settings.member().self());
     out.put("joined", member.hasJoined());
-    out.put("holds", member.holds());
+    out.put("holds", member.hasValidLease());
     out.put("alone", settings.alone().name());
-    OptionalLong currentAt = view.currentAt();
+    OptionalLong currentAt = view.currentAsOfNanos();
     out.put(
         "age_ms",
         currentAt.isEmpty()
@@ -125,8 +126,8 @@
       Map<String, Object> s = new LinkedHashMap<>();
       s.put("member", session.member());
       s.put("incarnation", session.incarnation());
-      s.put("standing", session.standing().name());
-      s.put("since", session.since());
+      s.put("standing", session.status().name());
+      s.put("since", session.sinceIndex());
       s.put("address", session.address());
       sessions.add(s);
     }
--- a/src/main/java/hazelspoke/agreement/net/OperatorClient.java
+++ b/src/main/java/hazelspoke/agreement/net/OperatorClient.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.net;
 
-import hazelspoke.agreement.record.Answer;
 import hazelspoke.agreement.record.Command;
+import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.wire.Cbor;
 import hazelspoke.agreement.wire.Fields;
 import hazelspoke.agreement.wire.MalformedException;
@@ -70,23 +70,23 @@
   }
 
   /** Puts a command on the record, once for each number of an origin. */
-  public Answer command(Command.Numbered command, int patienceMs) throws IOException {
+  public CommandResult command(Command.Numbered command, int patienceMs) throws IOException {
     Map<String, Object> call = call("command");
     call.put("command", command.bytes());
     return answer(call, patienceMs);
   }
 
   /** Makes a member a voter, or ends its vote. */
-  public Answer voter(boolean add, String name, int patienceMs) throws IOException {
+  public CommandResult voter(boolean add, String name, int patienceMs) throws IOException {
     Map<String, Object> call = call("voter");
     call.put("add", add);
     call.put("member", name);
     return answer(call, patienceMs);
   }
 
-  private Answer answer(Map<String, Object> call, int patienceMs) throws IOException {
+  private CommandResult answer(Map<String, Object> call, int patienceMs) throws IOException {
     try {
-      return Answer.read(ask(call, patienceMs).fields("answer"));
+      return CommandResult.read(ask(call, patienceMs).fields("answer"));
     } catch (MalformedException e) {
       throw new IOException("unreadable answer: " + e.getMessage(), e);
     }
--- a/src/main/java/hazelspoke/agreement/net/Peers.java
+++ b/src/main/java/hazelspoke/agreement/net/Peers.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.net;
 
-import hazelspoke.agreement.member.Wire;
+import hazelspoke.agreement.member.Transport;
 import hazelspoke.agreement.wire.MalformedException;
 import hazelspoke.net.Addresses;
 import io.netty.bootstrap.Bootstrap;
@@ -30,7 +30,7 @@
  * The connections to the other members. Each member opens its own to whom it has something to send,
  * and is answered on it; what cannot be sent now is dropped. All on the loop.
  */
-final class Peers implements Wire {
+final class Peers implements Transport {
   /** What comes from elsewhere. */
   interface Inbox {
     void packet(String from, byte[] packet, Consumer<byte[]> back);
--- a/src/main/java/hazelspoke/agreement/record/Command.java
+++ b/src/main/java/hazelspoke/agreement/record/Command.java
@@ -9,20 +9,22 @@
 /** What an entry of the record asks for. */
 public sealed interface Command {
   /** The longest name, key or address, in characters. */
-  int LONGEST_NAME = 255;
+  int MAX_NAME_CHARS = 255;
 
   /** The longest value of a note, in characters. */
-  int LONGEST_NOTE = 4_096;
+  int MAX_NOTE_CHARS = 4_096;
 
   /**
    * A process begins to belong.
    *
    * @param member its name in the fleet
-   * @param home its data folder's own name, which nobody else has; only one process uses a folder
-   * @param life higher than those of all processes that used the folder before
+   * @param storeId its data folder's own name, which nobody else has; only one process uses a
+   *     folder
+   * @param sessionEpoch higher than those of all processes that used the folder before
    * @param address where the others reach it
    */
-  record Join(String member, String home, long life, String address) implements Command {}
+  record Join(String member, String storeId, long sessionEpoch, String address)
+      implements Command {}
 
   /** A process goes for good. */
   record Leave(String member, long incarnation) implements Command {}
@@ -52,8 +54,8 @@
     out.put("do", command.getClass().getSimpleName());
     if (command instanceof Join join) {
       out.put("member", join.member);
-      out.put("home", join.home);
-      out.put("life", join.life);
+      out.put("home", join.storeId);
+      out.put("life", join.sessionEpoch);
       out.put("address", join.address);
     } else if (command instanceof Vouch vouch) {
       out.put("member", vouch.member);
@@ -93,23 +95,23 @@
       case "Refused" -> new Refused(name(in, "member"), in.number("incarnation"));
       case "Vouch" -> new Vouch(name(in, "member"));
       case "Note" ->
-          new Note(name(in, "key"), in.number("expected"), text(in, "value", LONGEST_NOTE));
+          new Note(name(in, "key"), in.number("expected"), text(in, "value", MAX_NOTE_CHARS));
       default -> throw new MalformedException("unknown command " + in.text("do"));
     };
   }
 
   private static String name(Fields in, String field) throws MalformedException {
-    String name = text(in, field, LONGEST_NAME);
+    String name = text(in, field, MAX_NAME_CHARS);
     if (name.isEmpty()) {
       throw new MalformedException(field + " is empty");
     }
     return name;
   }
 
-  private static String text(Fields in, String field, int longest) throws MalformedException {
+  private static String text(Fields in, String field, int maxChars) throws MalformedException {
     String text = in.text(field);
-    if (text.length() > longest) {
-      throw new MalformedException(field + " is longer than " + longest + " characters");
+    if (text.length() > maxChars) {
+      throw new MalformedException(field + " is longer than " + maxChars + " characters");
     }
     return text;
   }
--- a/src/main/java/hazelspoke/agreement/record/Answer.java
+++ b/src/main/java/hazelspoke/agreement/record/CommandResult.java
@@ -8,26 +8,26 @@
 /**
  * What became of a command.
  *
- * @param done whether it changed the record, or had done so before
+ * @param succeeded whether it changed the record, or had done so before
  * @param number the incarnation of who joined, the version of a note (the present one if it was not
  *     changed); else 0
- * @param why one line where it was not done
+ * @param reason one line where it was not done
  */
-public record Answer(boolean done, long number, String why) {
-  static Answer done(long number) {
-    return new Answer(true, number, "");
+public record CommandResult(boolean succeeded, long number, String reason) {
+  static CommandResult success(long number) {
+    return new CommandResult(true, number, "");
   }
 
-  static Answer not(long number, String why) {
-    return new Answer(false, number, why);
+  static CommandResult rejected(long number, String reason) {
+    return new CommandResult(false, number, reason);
   }
 
   /** The fields of an answer, ready to be written. */
   public Map<String, Object> fields() {
     Map<String, Object> out = new LinkedHashMap<>();
-    out.put("done", done);
+    out.put("done", succeeded);
     out.put("number", number);
-    out.put("why", why);
+    out.put("why", reason);
     return out;
   }
 
@@ -36,7 +36,7 @@
    *
    * @throws MalformedException for anything else
    */
-  public static Answer read(Fields in) throws MalformedException {
-    return new Answer(in.truth("done"), in.number("number"), in.text("why"));
+  public static CommandResult read(Fields in) throws MalformedException {
+    return new CommandResult(in.truth("done"), in.number("number"), in.text("why"));
   }
 }
--- a/src/main/java/hazelspoke/agreement/record/FleetRecord.java
+++ b/src/main/java/hazelspoke/agreement/record/FleetRecord.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.record;
 
-import hazelspoke.agreement.record.Session.Standing;
+import hazelspoke.agreement.record.Session.Status;
 import hazelspoke.agreement.wire.Cbor;
 import hazelspoke.agreement.wire.Fields;
 import hazelspoke.agreement.wire.MalformedException;
@@ -17,17 +17,17 @@
  */
 public final class FleetRecord {
   /** The most members that a record has had, those that are gone among them. */
-  public static final int MOST_SESSIONS = 2_000;
+  public static final int MAX_SESSIONS = 2_000;
 
-  static final int MOST_NOTES = 256;
+  static final int MAX_NOTES = 256;
 
   /** Of the origins beyond that the one that was silent for the longest is forgotten. */
-  static final int MOST_ORIGINS = 4_096;
+  static final int MAX_ORIGINS = 4_096;
 
   /** A text with the index of the entry that wrote it. */
   public record NoteValue(long version, String value) {}
 
-  private record Last(long number, Answer answer) {}
+  private record Last(long number, CommandResult answer) {}
 
   private long index;
   private final TreeMap<String, Session> sessions = new TreeMap<>();
@@ -62,7 +62,7 @@
   }
 
   /** Goes on to an entry that says nothing here, such as a leader's first. */
-  public void pass(long at) {
+  public void advanceTo(long at) {
     index = at;
   }
 
@@ -72,17 +72,17 @@
    *
    * @return what has become of a command; null where there is none
    */
-  public Answer take(long at, byte[] entry) {
+  public CommandResult applyEntry(long at, byte[] entry) {
     if (entry.length == 0) {
-      pass(at);
+      advanceTo(at);
       return null;
     }
     try {
       return apply(at, Command.Numbered.read(entry));
     } catch (MalformedException e) {
       // Of a later version, and the same for all that are of this one.
-      pass(at);
-      return Answer.not(0, e.getMessage());
+      advanceTo(at);
+      return CommandResult.rejected(0, e.getMessage());
     }
   }
 
@@ -91,73 +91,81 @@
    *
    * @return what has become of it, the first time
    */
-  public Answer apply(long at, Command.Numbered entry) {
+  public CommandResult apply(long at, Command.Numbered entry) {
     index = at;
     Last last = origins.remove(entry.origin());
     if (last != null && entry.number() <= last.number) {
       origins.put(entry.origin(), last);
       return entry.number() == last.number
           ? last.answer
-          : Answer.not(0, "a later command of " + entry.origin() + " came before this one");
+          : CommandResult.rejected(
+              0, "a later command of " + entry.origin() + " came before this one");
     }
-    Answer answer = apply(entry.command());
+    CommandResult answer = apply(entry.command());
     origins.put(entry.origin(), new Last(entry.number(), answer));
-    if (origins.size() > MOST_ORIGINS) {
+    if (origins.size() > MAX_ORIGINS) {
       origins.remove(origins.keySet().iterator().next());
     }
     return answer;
   }
 
-  private Answer apply(Command command) {
+  private CommandResult apply(Command command) {
     if (command instanceof Command.Join join) {
       return join(join);
     } else if (command instanceof Command.Leave leave) {
-      return ends(leave.member(), leave.incarnation(), Standing.LEFT);
+      return ends(leave.member(), leave.incarnation(), Status.LEFT);
     } else if (command instanceof Command.Lapse lapse) {
-      return turns(lapse.member(), lapse.incarnation(), Standing.THERE, Standing.SILENT);
+      return turns(lapse.member(), lapse.incarnation(), Status.THERE, Status.SILENT);
     } else if (command instanceof Command.Back back) {
-      return turns(back.member(), back.incarnation(), Standing.SILENT, Standing.THERE);
+      return turns(back.member(), back.incarnation(), Status.SILENT, Status.THERE);
     } else if (command instanceof Command.Refused refused) {
       // Only of one whose term is over already: who still renews is not over.
-      return turns(refused.member(), refused.incarnation(), Standing.SILENT, Standing.REFUSED);
+      return turns(refused.member(), refused.incarnation(), Status.SILENT, Status.REFUSED);
     } else if (command instanceof Command.Vouch vouch) {
       return vouch(vouch.member());
     }
     return note((Command.Note) command);
   }
 
-  private Answer join(Command.Join join) {
+  private CommandResult join(Command.Join join) {
     Session before = sessions.get(join.member());
     if (before != null) {
-      if (before.life() == join.life() && before.home().equals(join.home())) {
-        return before.standing().isGone()
-            ? Answer.not(0, "this process counts as over: " + before.standing())
-            : Answer.done(before.incarnation());
+      if (before.sessionEpoch() == join.sessionEpoch() && before.storeId().equals(join.storeId())) {
+        return before.status().hasEnded()
+            ? CommandResult.rejected(0, "this process counts as over: " + before.status())
+            : CommandResult.success(before.incarnation());
       }
-      if (before.home().equals(join.home()) && join.life() < before.life()) {
+      if (before.storeId().equals(join.storeId()) && join.sessionEpoch() < before.sessionEpoch()) {
         // Late, and of a process that is over.
-        return Answer.not(before.incarnation(), "a later process has joined with the same folder");
+        return CommandResult.rejected(
+            before.incarnation(), "a later process has joined with the same folder");
       }
       // A folder is used by one process at a time, so a second life in it is the first one's end.
-      if (!before.standing().isGone() && !before.home().equals(join.home())) {
-        return Answer.not(
+      if (!before.status().hasEnded() && !before.storeId().equals(join.storeId())) {
+        return CommandResult.rejected(
             before.incarnation(),
             "the name "
                 + join.member()
                 + " belongs to the process at "
                 + before.address()
-                + (before.standing() == Standing.SILENT
+                + (before.status() == Status.SILENT
                     ? ", which is silent and not known to be over: vouch for it if it is"
                     : ""));
       }
-    } else if (sessions.size() >= MOST_SESSIONS) {
-      return Answer.not(0, "there are " + MOST_SESSIONS + " members already");
+    } else if (sessions.size() >= MAX_SESSIONS) {
+      return CommandResult.rejected(0, "there are " + MAX_SESSIONS + " members already");
     }
     sessions.put(
         join.member(),
         new Session(
-            join.member(), join.home(), join.life(), index, join.address(), Standing.THERE, index));
-    return Answer.done(index);
+            join.member(),
+            join.storeId(),
+            join.sessionEpoch(),
+            index,
+            join.address(),
+            Status.THERE,
+            index));
+    return CommandResult.success(index);
   }
 
   private Session of(String member, long incarnation) {
@@ -165,53 +173,53 @@
     return session != null && session.incarnation() == incarnation ? session : null;
   }
 
-  private Answer turns(String member, long incarnation, Standing from, Standing to) {
+  private CommandResult turns(String member, long incarnation, Status from, Status to) {
     Session session = of(member, incarnation);
     if (session == null) {
-      return Answer.not(0, "another process has the name " + member);
+      return CommandResult.rejected(0, "another process has the name " + member);
     }
-    if (session.standing() == to) {
-      return Answer.done(session.since());
+    if (session.status() == to) {
+      return CommandResult.success(session.sinceIndex());
     }
-    if (session.standing() != from) {
-      return Answer.not(session.since(), member + " is " + session.standing());
+    if (session.status() != from) {
+      return CommandResult.rejected(session.sinceIndex(), member + " is " + session.status());
     }
     sessions.put(member, session.with(to, index));
-    return Answer.done(index);
+    return CommandResult.success(index);
   }
 
-  private Answer ends(String member, long incarnation, Standing how) {
+  private CommandResult ends(String member, long incarnation, Status how) {
     Session session = of(member, incarnation);
-    if (session == null || session.standing().isGone()) {
-      return Answer.done(0);
+    if (session == null || session.status().hasEnded()) {
+      return CommandResult.success(0);
     }
     sessions.put(member, session.with(how, index));
-    return Answer.done(index);
+    return CommandResult.success(index);
   }
 
-  private Answer vouch(String member) {
+  private CommandResult vouch(String member) {
     Session session = sessions.get(member);
     if (session == null) {
-      return Answer.not(0, "no member has the name " + member);
+      return CommandResult.rejected(0, "no member has the name " + member);
     }
-    if (session.standing() == Standing.THERE) {
-      return Answer.not(
+    if (session.status() == Status.THERE) {
+      return CommandResult.rejected(
           session.incarnation(), member + " renews in time: end it before you vouch for its end");
     }
-    return ends(member, session.incarnation(), Standing.VOUCHED);
+    return ends(member, session.incarnation(), Status.VOUCHED);
   }
 
-  private Answer note(Command.Note note) {
+  private CommandResult note(Command.Note note) {
     NoteValue before = notes.get(note.key());
     long version = before == null ? 0 : before.version();
     if (note.expected() >= 0 && note.expected() != version) {
-      return Answer.not(version, "the note has version " + version);
+      return CommandResult.rejected(version, "the note has version " + version);
     }
-    if (before == null && notes.size() >= MOST_NOTES) {
-      return Answer.not(0, "there are " + MOST_NOTES + " notes already");
+    if (before == null && notes.size() >= MAX_NOTES) {
+      return CommandResult.rejected(0, "there are " + MAX_NOTES + " notes already");
     }
     notes.put(note.key(), new NoteValue(index, note.value()));
-    return Answer.done(index);
+    return CommandResult.success(index);
   }
 
   /** All of it, the same bytes wherever the same entries were applied. */
@@ -220,8 +228,8 @@
     for (Session s : sessions.values()) {
       Map<String, Object> out = Command.fields(join(s));
       out.put("incarnation", s.incarnation());
-      out.put("standing", s.standing().name());
-      out.put("since", s.since());
+      out.put("standing", s.status().name());
+      out.put("since", s.sinceIndex());
       belonging.add(out);
     }
     List<Map<String, Object>> written = new ArrayList<>();
@@ -250,7 +258,7 @@
   }
 
   private static Command.Join join(Session s) {
-    return new Command.Join(s.member(), s.home(), s.life(), s.address());
+    return new Command.Join(s.member(), s.storeId(), s.sessionEpoch(), s.address());
   }
 
   /**
@@ -271,14 +279,14 @@
               s.number("life"),
               s.number("incarnation"),
               s.text("address"),
-              s.one("standing", Standing.class),
+              s.one("standing", Status.class),
               s.number("since")));
     }
     for (Fields note : in.list("notes")) {
       out.notes.put(note.text("key"), new NoteValue(note.number("version"), note.text("value")));
     }
     for (Fields o : in.list("origins")) {
-      out.origins.put(o.text("origin"), new Last(o.number("last"), Answer.read(o)));
+      out.origins.put(o.text("origin"), new Last(o.number("last"), CommandResult.read(o)));
     }
     return out;
   }
--- a/src/main/java/hazelspoke/agreement/record/Session.java
+++ b/src/main/java/hazelspoke/agreement/record/Session.java
@@ -4,22 +4,22 @@
  * The standing of a member's newest incarnation.
  *
  * @param member its name
- * @param home its data folder's own name
- * @param life of the process; higher than those before it in the same folder
+ * @param storeId its data folder's own name
+ * @param sessionEpoch of the process; higher than those before it in the same folder
  * @param incarnation the index of the entry by which it joined
  * @param address where the others reach it
- * @param since the index of the entry that gave it this standing
+ * @param sinceIndex the index of the entry that gave it this standing
  */
 public record Session(
     String member,
-    String home,
-    long life,
+    String storeId,
+    long sessionEpoch,
     long incarnation,
     String address,
-    Standing standing,
-    long since) {
+    Status status,
+    long sinceIndex) {
   /** What the record knows of a process. */
-  public enum Standing {
+  public enum Status {
     /** It renews in time. */
     THERE,
     /** Past its term; the process may still run. */
@@ -32,12 +32,12 @@
     VOUCHED;
 
     /** Whether it is certain to be over. */
-    public boolean isGone() {
+    public boolean hasEnded() {
       return this != THERE && this != SILENT;
     }
   }
 
-  Session with(Standing next, long index) {
-    return new Session(member, home, life, incarnation, address, next, index);
+  Session with(Status next, long index) {
+    return new Session(member, storeId, sessionEpoch, incarnation, address, next, index);
   }
 }
--- a/src/main/java/hazelspoke/bench/scale/RecordScale.java
+++ b/src/main/java/hazelspoke/bench/scale/RecordScale.java
@@ -2,8 +2,8 @@
 
 import hazelspoke.agreement.net.FleetNode;
 import hazelspoke.agreement.net.OperatorClient;
-import hazelspoke.agreement.record.Answer;
 import hazelspoke.agreement.record.Command;
+import hazelspoke.agreement.record.CommandResult;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -137,7 +137,7 @@
       client = new OperatorClient(at, Places.FLEET);
     }
 
-    Answer write(String key) throws IOException {
+    CommandResult write(String key) throws IOException {
       writes++;
       Command.Numbered command =
           new Command.Numbered(
--- a/src/main/java/hazelspoke/config/OperatorsFile.java
+++ b/src/main/java/hazelspoke/config/OperatorsFile.java
@@ -85,8 +85,8 @@
         addresses.put(member, address);
       }
     }
-    if (members.keys().size() > FleetRecord.MOST_SESSIONS) {
-      in.complain("members", "are more than " + FleetRecord.MOST_SESSIONS);
+    if (members.keys().size() > FleetRecord.MAX_SESSIONS) {
+      in.complain("members", "are more than " + FleetRecord.MAX_SESSIONS);
     }
     unique(in, addresses);
     String self = environment.get(SELF_VARIABLE);
@@ -95,9 +95,9 @@
     }
     isMember(in, "self", self, members.keys());
     List<String> voters = voters(in, members.keys());
-    double termS = in.number("term_s", MemberSettings.USUAL_TERM_NANOS / NANOS_PER_S, 1, 600);
+    double termS = in.number("term_s", MemberSettings.DEFAULT_LEASE_NANOS / NANOS_PER_S, 1, 600);
     double heartbeatMs =
-        in.number("heartbeat_ms", MemberSettings.USUAL_HEARTBEAT_NANOS / NANOS_PER_MS, 20, 5_000);
+        in.number("heartbeat_ms", MemberSettings.DEFAULT_HEARTBEAT_NANOS / NANOS_PER_MS, 20, 5_000);
     if (heartbeatMs * 8 > termS * 1_000) {
       in.complain("heartbeat_ms", "a term has to be eight heartbeats or longer");
     }
@@ -109,9 +109,9 @@
             List.copyOf(new TreeSet<>(addresses.keySet())),
             voters,
             (long) (termS * NANOS_PER_S),
-            in.number("drift", MemberSettings.USUAL_DRIFT, 0, 0.1),
+            in.number("drift", MemberSettings.DEFAULT_DRIFT, 0, 0.1),
             (long) (heartbeatMs * NANOS_PER_MS),
-            (int) in.number("snapshot_every", MemberSettings.USUAL_SNAPSHOT_EVERY, 10, 1_000_000),
+            (int) in.number("snapshot_every", MemberSettings.DEFAULT_SNAPSHOT_EVERY, 10, 1_000_000),
             in.one("refusal", Refusal.COUNTS) == Refusal.COUNTS);
     InetSocketAddress listen = in.has("listen") ? address(in, "listen") : addresses.get(self);
     FleetSettings.Alone alone = in.one("alone", FleetSettings.Alone.SERVE);
--- a/src/main/java/hazelspoke/emulator/run/Gateways.java
+++ b/src/main/java/hazelspoke/emulator/run/Gateways.java
@@ -331,8 +331,8 @@
         Command.Vouch gone = new Command.Vouch(name);
         Command.Numbered vouch = new Command.Numbered("operator/" + name + "/" + i, 1, gone);
         // Not of the one that has come since: once is enough.
-        over = over || client.command(vouch, OPERATOR_PATIENCE_MS).done();
-        if (over && (!votes || client.voter(true, name, VOTER_PATIENCE_MS).done())) {
+        over = over || client.command(vouch, OPERATOR_PATIENCE_MS).succeeded();
+        if (over && (!votes || client.voter(true, name, VOTER_PATIENCE_MS).succeeded())) {
           replaced.incrementAndGet();
           return;
         }
--- a/src/main/java/hazelspoke/emulator/run/RecordClients.java
+++ b/src/main/java/hazelspoke/emulator/run/RecordClients.java
@@ -1,8 +1,8 @@
 package hazelspoke.emulator.run;
 
 import hazelspoke.agreement.net.OperatorClient;
-import hazelspoke.agreement.record.Answer;
 import hazelspoke.agreement.record.Command;
+import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.wire.Fields;
 import hazelspoke.agreement.wire.MalformedException;
 import hazelspoke.emulator.judge.Linearizability;
@@ -148,9 +148,9 @@
     int tries = 1 + random.nextInt(3);
     for (int i = 0; i < tries; i++) {
       try (OperatorClient client = connect(random)) {
-        Answer answer = client.command(command, PATIENCE_MS);
+        CommandResult answer = client.command(command, PATIENCE_MS);
         long to = System.nanoTime() - begun;
-        answered(key, Call.write(from, to, -1, value, answer.done(), answer.number()));
+        answered(key, Call.write(from, to, -1, value, answer.succeeded(), answer.number()));
         return;
       } catch (IOException e) {
         // Perhaps done, perhaps not: another gateway is asked for the same.
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulation.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulation.java
@@ -35,8 +35,8 @@
   private static final long BOUND = 8 * SECOND;
 
   /** Few are kept and pieces are small, so that snapshots are needed and take long. */
-  private static Pace pace(int members) {
-    return new Pace(25 * MS, SECOND, 300, 600L * members, 14, 4_000);
+  private static FeedSettings pace(int members) {
+    return new FeedSettings(25 * MS, SECOND, 300, 600L * members, 14, 4_000);
   }
 
   /** Where a mutant lacks a guard. */
@@ -44,18 +44,18 @@
     /** Whether a voter that was deposed pushes what was never agreed on. */
     boolean pushesWhatIsNotAgreedOn;
 
-    Feed feed(Turns turns, Pace pace, Supplier<FleetRecord> record) {
+    Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
       return new Feed(turns, pace, record);
     }
 
-    Follower follower(
+    FeedSubscriber follower(
         String self,
         Turns turns,
         Random random,
-        Pace pace,
+        FeedSettings pace,
         Supplier<List<String>> voters,
-        Follower.Owner owner) {
-      return new Follower(self, turns, random, pace, voters, owner);
+        FeedSubscriber.Owner owner) {
+      return new FeedSubscriber(self, turns, random, pace, voters, owner);
     }
   }
 
@@ -74,7 +74,7 @@
 
   private final Random random;
   private final Mutant mutant;
-  private final Pace pace;
+  private final FeedSettings pace;
   private final PriorityQueue<Event> queue =
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
@@ -174,7 +174,7 @@
                         "k" + random.nextInt(6), -1, "v".repeat(random.nextInt(90)) + index))
                 .bytes();
     log.add(entry);
-    truth.take(index, entry);
+    truth.applyEntry(index, entry);
     sums.add(Arrays.hashCode(truth.bytes()));
     truthAt.put(now, index);
     voters.forEach(Voter::soon);
@@ -305,7 +305,7 @@
     private void back(long index) {
       record = new FleetRecord();
       for (int i = 0; i < index; i++) {
-        record.take(i + 1, log.get(i));
+        record.applyEntry(i + 1, log.get(i));
       }
       forked = false;
     }
@@ -337,7 +337,7 @@
           byte[] own =
               new Command.Numbered(name, 1, new Command.Note("k0", -1, "not agreed on")).bytes();
           long index = record.index() + 1;
-          record.take(index, own);
+          record.applyEntry(index, own);
           feed.applied(index, own);
         }
         life.after(late - now, this::apply);
@@ -346,7 +346,7 @@
       while (record.index() < log.size()) {
         long index = record.index() + 1;
         byte[] entry = log.get((int) index - 1);
-        record.take(index, entry);
+        record.applyEntry(index, entry);
         feed.applied(index, entry);
       }
     }
@@ -397,11 +397,11 @@
     }
   }
 
-  private final class Member implements Follower.Owner {
+  private final class Member implements FeedSubscriber.Owner {
     private final String name;
     private int lives;
     private Life life;
-    private Follower follower;
+    private FeedSubscriber follower;
     private long known;
     private long toldIndex;
     private long toldAt;
@@ -501,7 +501,7 @@
       }
       known = index;
       // Up to then, as it says, the record went no further than it knows.
-      OptionalLong at = follower.currentAt();
+      OptionalLong at = follower.currentAsOfNanos();
       if (at.isPresent() && truthBefore(at.getAsLong()) > index) {
         throw new Wrong(name + " says it had all at " + at + ", and has " + index);
       }
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
@@ -27,14 +27,14 @@
       Mutant make() {
         return new Mutant() {
           @Override
-          Follower follower(
+          FeedSubscriber follower(
               String self,
               Turns turns,
               Random random,
-              Pace pace,
+              FeedSettings pace,
               Supplier<List<String>> v,
-              Follower.Owner o) {
-            return new Follower(self, turns, random, pace, v, o) {
+              FeedSubscriber.Owner o) {
+            return new FeedSubscriber(self, turns, random, pace, v, o) {
               @Override
               protected boolean follows(long previous) {
                 return true;
@@ -49,14 +49,14 @@
       Mutant make() {
         return new Mutant() {
           @Override
-          Follower follower(
+          FeedSubscriber follower(
               String self,
               Turns turns,
               Random random,
-              Pace pace,
+              FeedSettings pace,
               Supplier<List<String>> v,
-              Follower.Owner o) {
-            return new Follower(self, turns, random, pace, v, o) {
+              FeedSubscriber.Owner o) {
+            return new FeedSubscriber(self, turns, random, pace, v, o) {
               @Override
               protected boolean isBehind(long forNanos) {
                 return false;
@@ -79,7 +79,7 @@
       Mutant make() {
         return new Mutant() {
           @Override
-          Feed feed(Turns turns, Pace pace, Supplier<FleetRecord> record) {
+          Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
             return new Feed(turns, pace, record) {
               private byte[] before = {};
 
@@ -100,7 +100,7 @@
       Mutant make() {
         return new Mutant() {
           @Override
-          Feed feed(Turns turns, Pace pace, Supplier<FleetRecord> record) {
+          Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
             return new Feed(turns, pace, record) {
               @Override
               protected boolean mayPay(double left) {
--- a/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
+++ b/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
@@ -2,12 +2,12 @@
 
 import hazelspoke.agreement.engine.Turns;
 import hazelspoke.agreement.feed.Feed;
-import hazelspoke.agreement.feed.Pace;
-import hazelspoke.agreement.record.Answer;
+import hazelspoke.agreement.feed.FeedSettings;
 import hazelspoke.agreement.record.Command;
+import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.record.Session;
-import hazelspoke.agreement.record.Session.Standing;
+import hazelspoke.agreement.record.Session.Status;
 import hazelspoke.agreement.store.Disk;
 import hazelspoke.agreement.store.RecordStore;
 import hazelspoke.agreement.store.SimDisk;
@@ -75,12 +75,12 @@
   }
 
   /** Few entries are kept and pieces are small, so that snapshots are needed by who follows. */
-  static class SmallFeeds extends Parts {
+  static class SmallFeeds extends Components {
     /** The indexes at which the record was told of an entry, which a change of voters is not. */
     private final TreeSet<Long> entries = new TreeSet<>();
 
     @Override
-    Feed feed(Turns turns, Pace pace, Supplier<FleetRecord> record) {
+    Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
       return new Feed(turns, pace, record) {
         @Override
         public void applied(long index, byte[] entry) {
@@ -91,8 +91,8 @@
     }
 
     @Override
-    Pace pace(MemberSettings settings) {
-      return new Pace(25 * MS, SECOND, 1_000, 200_000, 20, 8_000);
+    FeedSettings pace(MemberSettings settings) {
+      return new FeedSettings(25 * MS, SECOND, 1_000, 200_000, 20, 8_000);
     }
   }
 
@@ -223,11 +223,11 @@
       throw found;
     }
     for (Process process : processes) {
-      if (process.member != null && process.member.holds()) {
+      if (process.member != null && process.member.hasValidLease()) {
         Session session = truth.session(process.name);
         if (session == null
             || session.incarnation() != process.member.incarnation()
-            || session.standing() != Standing.THERE) {
+            || session.status() != Status.THERE) {
           throw new Wrong(process.name + " holds at " + now + " and the record says " + session);
         }
       }
@@ -235,7 +235,7 @@
   }
 
   private void applied(Process process) {
-    FleetRecord record = process.member == null ? null : process.member.applied();
+    FleetRecord record = process.member == null ? null : process.member.appliedRecord();
     if (record == null) {
       return;
     }
@@ -252,7 +252,7 @@
       }
       for (Session session : truth.sessions()) {
         Process of = byName.get(session.member());
-        if (session.standing() == Standing.REFUSED
+        if (session.status() == Status.REFUSED
             && of.member != null
             && of.member.incarnation() == session.incarnation()) {
           throw new Wrong(session + " counts as over, and runs");
@@ -273,7 +273,7 @@
       if (process.member == null) {
         throw new Wrong(process.name + " is down at the end");
       }
-      if (!process.member.holds()) {
+      if (!process.member.hasValidLease()) {
         throw new Wrong(process.name + " does not hold at the end: " + process.lastEvent);
       }
       long all = truthAt.floorEntry(now - 3 * SECOND).getValue();
@@ -342,17 +342,17 @@
     Command.Note note = new Command.Note(key, expected, value);
     String origin = "client/" + writes;
     boolean[] done = {false};
-    BiConsumer<Answer, Throwable> end =
+    BiConsumer<CommandResult, Throwable> end =
         (answer, failure) -> {
           if (!done[0] && failure == null) {
             done[0] = true;
             history.add(
                 Linearizability.Call.write(
-                    from, now + 1, expected, value, answer.done(), answer.number()));
+                    from, now + 1, expected, value, answer.succeeded(), answer.number()));
             at(now + random.nextInt(200) * MS, null, this::client);
           }
         };
-    process.member.ask(new Command.Numbered(origin, 1, note), patience).whenComplete(end);
+    process.member.submit(new Command.Numbered(origin, 1, note), patience).whenComplete(end);
     if (random.nextInt(3) == 0) {
       // Somebody who has lost patience gives the same command to another member.
       at(
@@ -362,7 +362,7 @@
             Process other = processes.get(random.nextInt(processes.size()));
             if (other.member != null) {
               String name = mutant.numbersAnew ? origin + "/again" : origin;
-              other.member.ask(new Command.Numbered(name, 1, note), patience).whenComplete(end);
+              other.member.submit(new Command.Numbered(name, 1, note), patience).whenComplete(end);
             }
           });
     }
@@ -452,7 +452,7 @@
 
   private Process leads() {
     return processes.stream()
-        .filter(p -> p.member != null && p.member.leads())
+        .filter(p -> p.member != null && p.member.isLeader())
         .findFirst()
         .orElse(null);
   }
@@ -536,14 +536,14 @@
     }
     Member at = up.get(random.nextInt(up.size())).member;
     if (!back) {
-      at.ask(new Command.Vouch(process.name)).whenComplete((answer, failure) -> again.run());
+      at.submit(new Command.Vouch(process.name)).whenComplete((answer, failure) -> again.run());
     } else if (!process.isVoter()) {
       lostDisks--;
     } else {
-      at.voter(true, process.name, 3 * SECOND)
+      at.changeVoter(true, process.name, 3 * SECOND)
           .whenComplete(
               (answer, failure) -> {
-                if (failure != null || !answer.done()) {
+                if (failure != null || !answer.succeeded()) {
                   again.run();
                 } else {
                   say("voter again " + process.name);
@@ -566,10 +566,10 @@
     process.votes = true;
     up.get(random.nextInt(up.size()))
         .member
-        .voter(add, process.name, 8 * SECOND)
+        .changeVoter(add, process.name, 8 * SECOND)
         .whenComplete(
             (answer, failure) -> {
-              if (failure == null && answer.done()) {
+              if (failure == null && answer.succeeded()) {
                 say((add ? "added voter " : "removed voter ") + process.name);
                 process.votes = add;
                 changes++;
@@ -682,7 +682,7 @@
                 mutant.disk.apply(new Guarded(this, disk)),
                 this,
                 new Random(random.nextLong()),
-                new Wire() {
+                new Transport() {
                   @Override
                   public void send(String to, byte[] packet) {
                     Process.this.send(its, byName.get(to), packet);
@@ -710,7 +710,7 @@
         member = null;
         disk.crash();
         restartAt(now + 500 * MS);
-      } catch (WrongFolderException e) {
+      } catch (WrongDataDirectoryException e) {
         throw new Wrong(e.getMessage());
       }
       starting = false;
@@ -768,7 +768,7 @@
           throw new Wrong(name + " follows another record up to " + followed);
         }
       }
-      OptionalLong at = member.view().currentAt();
+      OptionalLong at = member.view().currentAsOfNanos();
       if (at.isPresent()) {
         long then = (long) ((at.getAsLong() - offset) / rate);
         Map.Entry<Long, Long> before = truthAt.lowerEntry(then - 1);
@@ -810,7 +810,7 @@
       Runnable arrives =
           () -> {
             if (to.life == toLife && to.member != null) {
-              to.member.received(name, packet, back -> to.send(toLife, this, back));
+              to.member.receive(name, packet, back -> to.send(toLife, this, back));
             }
           };
       if (to == this) {
--- a/src/test/java/hazelspoke/agreement/member/Mutants.java
+++ b/src/test/java/hazelspoke/agreement/member/Mutants.java
@@ -174,8 +174,8 @@
       mutant.parts =
           new FleetSimulation.SmallFeeds() {
             @Override
-            Terms terms(MemberSettings settings, long tickNanos) {
-              return new Terms(settings.termNanos(), settings.drift(), tickNanos) {
+            SessionLeases terms(MemberSettings settings, long tickNanos) {
+              return new SessionLeases(settings.leaseNanos(), settings.drift(), tickNanos) {
                 @Override
                 boolean isLapsing(Session session) {
                   return false;
--- a/src/test/java/hazelspoke/agreement/net/FleetNodeTest.java
+++ b/src/test/java/hazelspoke/agreement/net/FleetNodeTest.java
@@ -4,8 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import hazelspoke.agreement.member.MemberSettings;
-import hazelspoke.agreement.record.Answer;
 import hazelspoke.agreement.record.Command;
+import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.wire.Fields;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -104,7 +104,7 @@
   void whatOneIsToldAllSayAndARepeatIsDoneOnce() throws Exception {
     openAll();
     Command.Numbered note = new Command.Numbered("op/1", 1, new Command.Note("k", 0, "v"));
-    List<Answer> answers = new ArrayList<>();
+    List<CommandResult> answers = new ArrayList<>();
     for (String name : NAMES) {
       try (OperatorClient client = at(name)) {
         answers.add(client.command(note, PATIENCE_MS));
@@ -114,7 +114,7 @@
       }
     }
     assertThat(answers).allSatisfy(a -> assertThat(a).isEqualTo(answers.get(0)));
-    assertThat(answers.get(0).done()).isTrue();
+    assertThat(answers.get(0).succeeded()).isTrue();
   }
 
   @Test
@@ -150,12 +150,12 @@
       // Its machine refused connections while it was away, or else an operator has to say so.
       client.command(new Command.Numbered("op/2", 1, new Command.Vouch("g2")), PATIENCE_MS);
       await(() -> nodes.get("g2").hasJoined());
-      assertThat(client.voter(true, "g2", PATIENCE_MS).done()).isTrue();
+      assertThat(client.voter(true, "g2", PATIENCE_MS).succeeded()).isTrue();
     }
     nodes.remove("g3").close();
     try (OperatorClient client = at("g2")) {
       Command.Numbered note = new Command.Numbered("op/3", 1, new Command.Note("k", 0, "v"));
-      assertThat(client.command(note, PATIENCE_MS).done())
+      assertThat(client.command(note, PATIENCE_MS).succeeded())
           .as("by the votes of g1 and of the new g2")
           .isTrue();
     }
@@ -167,10 +167,10 @@
     openAll();
     try (OperatorClient client = at("g1")) {
       for (String name : List.of("g2", "g3")) {
-        assertThat(client.voter(true, name, PATIENCE_MS)).matches(Answer::done);
+        assertThat(client.voter(true, name, PATIENCE_MS)).matches(CommandResult::succeeded);
       }
       assertThat(client.read(PATIENCE_MS).texts("voters")).containsExactlyElementsOf(NAMES);
-      assertThat(client.voter(false, "g2", PATIENCE_MS).why()).contains("no loss borne");
+      assertThat(client.voter(false, "g2", PATIENCE_MS).reason()).contains("no loss borne");
     }
     nodes.remove("g1").close();
     // Nobody else of the file's voters is left to ask who they are.
@@ -179,7 +179,7 @@
     await(() -> nodes.get("g2").hasJoined());
     try (OperatorClient client = at("g2")) {
       Command.Numbered note = new Command.Numbered("op/1", 1, new Command.Note("k", 0, "v"));
-      assertThat(client.command(note, PATIENCE_MS).done()).isTrue();
+      assertThat(client.command(note, PATIENCE_MS).succeeded()).isTrue();
     }
   }
 
--- a/src/test/java/hazelspoke/agreement/record/FleetRecordTest.java
+++ b/src/test/java/hazelspoke/agreement/record/FleetRecordTest.java
@@ -10,7 +10,7 @@
 import hazelspoke.agreement.record.Command.Numbered;
 import hazelspoke.agreement.record.Command.Refused;
 import hazelspoke.agreement.record.Command.Vouch;
-import hazelspoke.agreement.record.Session.Standing;
+import hazelspoke.agreement.record.Session.Status;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -18,30 +18,30 @@
 class FleetRecordTest {
   private final FleetRecord record = new FleetRecord();
 
-  private Answer apply(String origin, long number, Command command) {
+  private CommandResult apply(String origin, long number, Command command) {
     return record.apply(record.index() + 1, new Numbered(origin, number, command));
   }
 
-  private Answer apply(Command command) {
+  private CommandResult apply(Command command) {
     return apply("o" + record.index(), 1, command);
   }
 
-  private Standing standing() {
-    return record.session("g1").standing();
+  private Status status() {
+    return record.session("g1").status();
   }
 
   @Test
   void aNameBelongsToOneProcessUntilThatIsCertainToBeOver() {
-    Answer first = apply(new Join("g1", "home1", 11, "a:1"));
-    assertThat(first).isEqualTo(new Answer(true, 1, ""));
+    CommandResult first = apply(new Join("g1", "home1", 11, "a:1"));
+    assertThat(first).isEqualTo(new CommandResult(true, 1, ""));
     assertThat(apply(new Join("g1", "home1", 11, "a:1")))
         .as("the same process again")
         .isEqualTo(first);
-    assertThat(apply(new Join("g1", "home2", 12, "b:1")).why()).contains("belongs to", "a:1");
+    assertThat(apply(new Join("g1", "home2", 12, "b:1")).reason()).contains("belongs to", "a:1");
     apply(new Lapse("g1", 1));
-    assertThat(apply(new Join("g1", "home2", 12, "b:1")).why()).contains("vouch for it");
-    assertThat(apply(new Vouch("g1")).done()).isTrue();
-    assertThat(apply(new Join("g1", "home1", 11, "a:1")).why()).contains("counts as over");
+    assertThat(apply(new Join("g1", "home2", 12, "b:1")).reason()).contains("vouch for it");
+    assertThat(apply(new Vouch("g1")).succeeded()).isTrue();
+    assertThat(apply(new Join("g1", "home1", 11, "a:1")).reason()).contains("counts as over");
     assertThat(apply(new Join("g1", "home2", 12, "b:1")).number()).isEqualTo(8);
     assertThat(apply(new Join("g1", "home2", 13, "b:1")).number())
         .as("another life in the same folder, which only one process uses")
@@ -52,46 +52,46 @@
   void whatConcernsAnEarlierIncarnationChangesNothing() {
     apply(new Join("g1", "home1", 11, "a:1"));
     apply(new Join("g1", "home1", 12, "a:1"));
-    assertThat(apply(new Lapse("g1", 1)).done()).isFalse();
-    assertThat(apply(new Refused("g1", 1)).done()).isFalse();
+    assertThat(apply(new Lapse("g1", 1)).succeeded()).isFalse();
+    assertThat(apply(new Refused("g1", 1)).succeeded()).isFalse();
     apply(new Leave("g1", 1));
-    assertThat(standing()).isEqualTo(Standing.THERE);
+    assertThat(status()).isEqualTo(Status.THERE);
   }
 
   @Test
   void onlyTheSilentAreBackRefusedOrVouchedFor() {
     apply(new Join("g1", "home1", 11, "a:1"));
-    assertThat(apply(new Vouch("g1")).why()).contains("renews in time");
-    assertThat(apply(new Refused("g1", 1)).done()).isFalse();
+    assertThat(apply(new Vouch("g1")).reason()).contains("renews in time");
+    assertThat(apply(new Refused("g1", 1)).succeeded()).isFalse();
     apply(new Lapse("g1", 1));
-    assertThat(standing()).isEqualTo(Standing.SILENT);
+    assertThat(status()).isEqualTo(Status.SILENT);
     apply(new Back("g1", 1));
-    assertThat(standing()).isEqualTo(Standing.THERE);
+    assertThat(status()).isEqualTo(Status.THERE);
     apply(new Lapse("g1", 1));
     apply(new Refused("g1", 1));
-    assertThat(standing()).isEqualTo(Standing.REFUSED);
-    assertThat(apply(new Back("g1", 1)).done()).isFalse();
+    assertThat(status()).isEqualTo(Status.REFUSED);
+    assertThat(apply(new Back("g1", 1)).succeeded()).isFalse();
   }
 
   @Test
   void aRepeatIsAnsweredAsTheFirstTimeAlsoOverASnapshot() throws Exception {
-    Answer first = apply("op", 1, new Note("k", 0, "v"));
+    CommandResult first = apply("op", 1, new Note("k", 0, "v"));
     FleetRecord restored = FleetRecord.read(record.bytes());
     assertThat(restored.apply(9, new Numbered("op", 1, new Note("k", 0, "v")))).isEqualTo(first);
     assertThat(restored.note("k").version()).isEqualTo(1);
-    assertThat(restored.apply(10, new Numbered("op", 0, new Note("k", -1, "w"))).why())
+    assertThat(restored.apply(10, new Numbered("op", 0, new Note("k", -1, "w"))).reason())
         .contains("a later command");
     assertThat(restored.note("k").value()).isEqualTo("v");
   }
 
   @Test
   void whatIsKeptIsBoundedAndTheSameEverywhere() throws Exception {
-    for (int i = 0; i < FleetRecord.MOST_ORIGINS + 50; i++) {
+    for (int i = 0; i < FleetRecord.MAX_ORIGINS + 50; i++) {
       apply(new Note("k" + i, -1, "v"));
       apply(new Join("m" + i, "h", i, "a:1"));
     }
-    assertThat(record.notes()).hasSize(FleetRecord.MOST_NOTES);
-    assertThat(record.sessions()).hasSize(FleetRecord.MOST_SESSIONS);
+    assertThat(record.notes()).hasSize(FleetRecord.MAX_NOTES);
+    assertThat(record.sessions()).hasSize(FleetRecord.MAX_SESSIONS);
     byte[] bytes = record.bytes();
     assertThat(FleetRecord.read(bytes).bytes()).isEqualTo(bytes);
   }
--- a/src/test/java/hazelspoke/config/OperatorsFileTest.java
+++ b/src/test/java/hazelspoke/config/OperatorsFileTest.java
@@ -53,9 +53,9 @@
 
   @Test
   void asManyMembersAsTheRecordHoldsAreTakenAndNoMore() throws Exception {
-    assertThat(read(withMembers(FleetRecord.MOST_SESSIONS), Map.of()).fleet()).isNotNull();
-    assertThat(FleetRecord.MOST_SESSIONS).isGreaterThanOrEqualTo(1_024);
-    assertThat(complaints(withMembers(FleetRecord.MOST_SESSIONS + 1)))
+    assertThat(read(withMembers(FleetRecord.MAX_SESSIONS), Map.of()).fleet()).isNotNull();
+    assertThat(FleetRecord.MAX_SESSIONS).isGreaterThanOrEqualTo(1_024);
+    assertThat(complaints(withMembers(FleetRecord.MAX_SESSIONS + 1)))
         .singleElement()
         .asString()
         .contains("members")
@@ -76,8 +76,8 @@
     assertThat(fleet.listen().getPort()).isEqualTo(2);
     assertThat(fleet.data()).isEqualTo(folder.resolve("data"));
     assertThat(fleet.alone()).isEqualTo(FleetSettings.Alone.SERVE);
-    assertThat(fleet.member().termNanos()).isEqualTo(TimeUnit.SECONDS.toNanos(10));
-    assertThat(fleet.member().refusalCounts()).isTrue();
+    assertThat(fleet.member().leaseNanos()).isEqualTo(TimeUnit.SECONDS.toNanos(10));
+    assertThat(fleet.member().refusalProvesEnd()).isTrue();
     assertThat(read("", Map.of()).fleet()).isNull();
   }
 
