--- a/src/main/java/hazelspoke/discovery/DiscoveryClient.java
+++ b/src/main/java/hazelspoke/discovery/DiscoveryClient.java
@@ -88,7 +88,8 @@
    * @param pushed whether the list is told unasked, so that the watch is held from here
    * @param version of the list that the gateway has
    */
-  public record Start(InetSocketAddress address, boolean pushed, Names names, long version) {}
+  public record InitialState(
+      InetSocketAddress address, boolean pushed, Names names, long version) {}
 
   private final Bootstrap bootstrap;
   private final Transport transport;
@@ -119,7 +120,7 @@
   public DiscoveryClient(
       EventLoop loop,
       Transport transport,
-      Start start,
+      InitialState start,
       Clock clock,
       Log log,
       Consumer<HostList.Update> onUpdate,
@@ -129,9 +130,9 @@
     bootstrap =
         new Bootstrap()
             .group(loop)
-            .channel(transport.client())
+            .channel(transport.clientChannelType())
             .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.receiveAllocator())
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
     address = start.address();
     pushed = start.pushed();
@@ -265,7 +266,7 @@
                       ch.pipeline().addLast(new HttpClientCodec(), Call.this);
                     }
                   })
-              .connect(transport.calling().apply(address));
+              .connect(transport.connectAddress().apply(address));
       channel = connecting.channel();
       if (!pushed || !isWatch) {
         check =
--- a/src/main/java/hazelspoke/front/http/ClientConnection.java
+++ b/src/main/java/hazelspoke/front/http/ClientConnection.java
@@ -2,16 +2,16 @@
 
 import hazelspoke.core.Answer;
 import hazelspoke.core.Body;
+import hazelspoke.core.BodyStream;
 import hazelspoke.core.ByteBudget;
 import hazelspoke.core.Client;
 import hazelspoke.core.Exchange;
-import hazelspoke.core.Inflow;
 import hazelspoke.core.Violations;
 import hazelspoke.http.BodyWriter;
+import hazelspoke.http.ChannelBodySource;
 import hazelspoke.http.HeadWriter;
 import hazelspoke.http.Headers;
-import hazelspoke.http.ReadingSource;
-import hazelspoke.net.Turns;
+import hazelspoke.net.SocketPolling;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -70,7 +70,7 @@
     ANSWERING;
 
     /** Whether bytes of a request were read that has had no whole answer. */
-    boolean isOwing() {
+    boolean isAwaitingResponse() {
       return this == HEAD || this == READING || this == IN_HAND || this == ANSWERING;
     }
   }
@@ -103,7 +103,7 @@
   /** Of the request that is being read: its bytes so far, and when the last of them came. */
   private long bodyBytes;
 
-  /** What its head says that it will have, or {@link Body#UNKNOWN}. */
+  /** What its head says that it will have, or {@link Body#UNKNOWN_LENGTH}. */
   private long declaredBytes;
 
   private double heardAt;
@@ -114,7 +114,7 @@
   private long countedBytes;
 
   /** Where the rest of a request goes that is handed over already; null with any other. */
-  private Inflow passing;
+  private BodyStream passing;
 
   /** How far an answer had come when that was last looked at, and since when it stands there. */
   private long seenGone;
@@ -137,11 +137,11 @@
   }
 
   /** Bytes have come, which are not decoded yet. */
-  void heard() {
+  void bytesReceived() {
     heardAt = server.nowMs();
     if (state == State.FRESH || state == State.IDLE) {
       enter(State.HEAD);
-      if (server.isSettled()) {
+      if (server.isRejectingRequests()) {
         turnAway(HttpResponseStatus.SERVICE_UNAVAILABLE, "closing");
       }
     }
@@ -149,22 +149,22 @@
 
   private void close() {
     // At once, as the channel tells of its end on a later turn.
-    server.closed(this);
+    server.connectionClosed(this);
     channel.close();
   }
 
   /** Closes it from here, where its client is not known to have gone. */
   private void closeUnasked() {
-    if (owesAnswer() && channel.isActive()) {
-      server.violated(Violations.Kind.CLOSED_UNANSWERED, describe());
+    if (hasPendingResponse() && channel.isActive()) {
+      server.reportViolation(Violations.Kind.CLOSED_UNANSWERED, describe());
     }
     close();
   }
 
   /** Whether a request has begun here whose answer waits for this side, not for its client. */
-  boolean owesAnswer() {
-    boolean unread = state == State.ANSWERING && writer != null && writer.awaitsPeer();
-    return state.isOwing() && !unread;
+  boolean hasPendingResponse() {
+    boolean unread = state == State.ANSWERING && writer != null && writer.isAwaitingPeer();
+    return state.isAwaitingResponse() && !unread;
   }
 
   /** The request that is open here, for the log. */
@@ -176,7 +176,7 @@
 
   @Override
   public void readPending() {
-    Turns.readPending(channel);
+    SocketPolling.readPending(channel);
     if (!channel.isActive()) {
       // The channel tells of its end on a later turn, which may be too late.
       ended();
@@ -204,7 +204,7 @@
    * This process ends now: a request that is still coming is refused, and nothing is read as one
    * any more. Reads first what its client has sent by now.
    */
-  void settle() {
+  void rejectIncompleteRequest() {
     readPending();
     if (!channel.isActive()) {
       return;
@@ -223,7 +223,7 @@
     State before = state;
     state = next;
     enteredAt = server.nowMs();
-    server.changed(this, before);
+    server.stateChanged(this, before);
   }
 
   @Override
@@ -247,7 +247,7 @@
   private void discard(Object message) {
     lingerBytes += size(message);
     ReferenceCountUtil.release(message);
-    if (lingerBytes > (unfinished ? Body.MOST_BYTES : MOST_LINGER_BYTES)) {
+    if (lingerBytes > (unfinished ? Body.MAX_BYTES : MOST_LINGER_BYTES)) {
       channel.config().setAutoRead(false);
     }
   }
@@ -259,7 +259,7 @@
   private void sentAhead() {
     keepAlive = false;
     if (exchange != null) {
-      server.clientGone(exchange);
+      server.clientDisconnected(exchange);
       exchange = null;
     }
     answer(HttpResponseStatus.BAD_REQUEST, "one request at a time", 0);
@@ -332,8 +332,8 @@
 
   /** Whether the client has not taken anything of its answer for so long, with some to take. */
   boolean isUnread(double now, double forMs) {
-    long gone = writer == null ? 0 : writer.piecesGone();
-    if (gone != seenGone || (writer != null && !writer.awaitsPeer())) {
+    long gone = writer == null ? 0 : writer.piecesWritten();
+    if (gone != seenGone || (writer != null && !writer.isAwaitingPeer())) {
       seenGone = gone;
       seenGoneAt = now;
     }
@@ -351,16 +351,17 @@
       return;
     }
     exchange = server.exchange(request, this);
-    declaredBytes = HttpUtil.getContentLength(request, Body.UNKNOWN);
+    declaredBytes = HttpUtil.getContentLength(request, Body.UNKNOWN_LENGTH);
     if (HttpUtil.is100ContinueExpected(request)) {
-      channel.writeAndFlush(HeadWriter.answer(channel.alloc(), HttpResponseStatus.CONTINUE).end(0));
+      channel.writeAndFlush(
+          HeadWriter.response(channel.alloc(), HttpResponseStatus.CONTINUE).finish(0));
     }
   }
 
   private void body(HttpContent content) throws BadRequestException {
     int more = content.content().readableBytes();
     bodyBytes += more;
-    if (bodyBytes > Body.MOST_BYTES) {
+    if (bodyBytes > Body.MAX_BYTES) {
       throw new BadRequestException(
           HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     }
@@ -373,8 +374,9 @@
       body.append(content.content());
       boolean room = exchange.share().add(more);
       boolean large =
-          body.length() > Body.WHOLE_REQUEST_BYTES
-              || (body.length() > Body.LEAST_PASSED_ON_BYTES && !server.hasRoomForBodies());
+          body.bufferedLength() > Body.MAX_BUFFERED_REQUEST_BYTES
+              || (body.bufferedLength() > Body.STREAMING_THRESHOLD_BYTES
+                  && !server.hasRoomForBodies());
       if (large && !(content instanceof LastHttpContent)) {
         passOnFrom(body);
         return;
@@ -395,7 +397,7 @@
       } else {
         checkNotOpen();
         enter(State.IN_HAND);
-        server.taken(exchange);
+        server.requestAccepted(exchange);
       }
     }
   }
@@ -405,26 +407,26 @@
     checkNotOpen();
     Exchange handed = exchange;
     passing =
-        new Inflow(
-            new ReadingSource(channel) {
+        new BodyStream(
+            new ChannelBodySource(channel) {
               @Override
-              public void attached() {
-                body.letGoOfHeld();
+              public void onAttached() {
+                body.releaseBuffered();
                 handed.share().release();
               }
 
               @Override
-              public void abandoned() {
+              public void onAbandoned() {
                 // The answer is on its way; what still comes is read and dropped behind it.
                 channel.config().setAutoRead(true);
               }
             });
-    body.continueWith(passing, declaredBytes);
-    server.taken(handed);
+    body.setRemainder(passing, declaredBytes);
+    server.requestAccepted(handed);
   }
 
   private void passOn(HttpContent content) {
-    Inflow to = passing;
+    BodyStream to = passing;
     to.offer(ByteBufUtil.getBytes(content.content()));
     if (content instanceof LastHttpContent) {
       passing = null;
@@ -432,7 +434,7 @@
       Exchange whole = exchange;
       enter(State.IN_HAND);
       // Before its host has it: the time of the request runs from here.
-      server.whole(whole);
+      server.requestComplete(whole);
       to.end();
     }
   }
@@ -451,7 +453,7 @@
   @Override
   public void answer(Answer answer) {
     if (state == State.ANSWERING || state == State.CLOSING) {
-      server.violated(Violations.Kind.ANSWERED_TWICE, describe());
+      server.reportViolation(Violations.Kind.ANSWERED_TWICE, describe());
       if (answer.outcome() == Answer.Outcome.SERVED) {
         answer.share().release();
         answer.body().abandon();
@@ -463,7 +465,9 @@
       case REFUSED -> own(HttpResponseStatus.SERVICE_UNAVAILABLE, answer.retryAfterMs());
       case FAILED ->
           own(
-              answer.late() ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
+              answer.deadlineExceeded()
+                  ? HttpResponseStatus.GATEWAY_TIMEOUT
+                  : HttpResponseStatus.BAD_GATEWAY,
               0);
     }
   }
@@ -472,7 +476,7 @@
   private void served(Answer answer) {
     answerShare = answer.share();
     Body body = answer.body();
-    boolean untold = body.wholeLength() == Body.UNKNOWN;
+    boolean untold = body.totalLength() == Body.UNKNOWN_LENGTH;
     // A client of the old protocol knows no chunks: its answer ends with the connection.
     keepAlive &= !untold || !version.equals(HttpVersion.HTTP_1_0);
     write(head(HttpResponseStatus.OK, body).add(answer.metadata()), body);
@@ -489,7 +493,7 @@
     HeadWriter head =
         head(status, body).add(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
     if (retryAfterMs > 0) {
-      head.add(HttpHeaderNames.RETRY_AFTER, Headers.seconds(retryAfterMs));
+      head.add(HttpHeaderNames.RETRY_AFTER, Headers.formatSeconds(retryAfterMs));
     }
     write(head, body);
   }
@@ -499,7 +503,8 @@
     exchange = null;
     passing = null;
     enter(State.ANSWERING);
-    boolean chunked = body.wholeLength() == Body.UNKNOWN && !version.equals(HttpVersion.HTTP_1_0);
+    boolean chunked =
+        body.totalLength() == Body.UNKNOWN_LENGTH && !version.equals(HttpVersion.HTTP_1_0);
     writer = new BodyWriter(channel, body, chunked, this::answerWritten, this::close);
     writer.start(head);
   }
@@ -511,15 +516,15 @@
       keepAlive = false;
       unfinished = passing != null;
     }
-    keepAlive &= !server.isSendingAway();
-    HeadWriter head = HeadWriter.answer(channel.alloc(), status);
+    keepAlive &= !server.isClosingAfterResponse();
+    HeadWriter head = HeadWriter.response(channel.alloc(), status);
     if (!keepAlive) {
       head.add(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     } else if (version.equals(HttpVersion.HTTP_1_0)) {
       head.add(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
     }
-    if (body.wholeLength() != Body.UNKNOWN) {
-      head.add(HttpHeaderNames.CONTENT_LENGTH, Long.toString(body.wholeLength()));
+    if (body.totalLength() != Body.UNKNOWN_LENGTH) {
+      head.add(HttpHeaderNames.CONTENT_LENGTH, Long.toString(body.totalLength()));
     } else if (!version.equals(HttpVersion.HTTP_1_0)) {
       head.add(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     }
@@ -559,7 +564,7 @@
     }
     if (state == State.IN_HAND && !ahead.isEmpty()) {
       sentAhead();
-    } else if (state == State.IDLE && server.isLeaving()) {
+    } else if (state == State.IDLE && server.isShuttingDown()) {
       expire();
     } else if (aheadBytes <= MOST_AHEAD_BYTES) {
       channel.config().setAutoRead(true);
@@ -601,11 +606,11 @@
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     boolean broken = cause instanceof IOException;
     if (!broken) {
-      server.failed(cause);
+      server.logFailure(cause);
     }
     if (broken || !channel.isActive()) {
       close();
-    } else if (state.isOwing() && state != State.ANSWERING) {
+    } else if (state.isAwaitingResponse() && state != State.ANSWERING) {
       failOwn();
     } else {
       // Where nothing is asked an answer would be taken for that to the next request.
@@ -617,7 +622,7 @@
   private void failOwn() {
     keepAlive = false;
     if (state == State.IN_HAND && exchange != null) {
-      server.clientGone(exchange);
+      server.clientDisconnected(exchange);
       exchange = null;
     }
     dropExchange();
@@ -631,7 +636,7 @@
 
   /** The connection has ended: nothing more is done for who was there. May be told twice. */
   private void ended() {
-    server.closed(this);
+    server.connectionClosed(this);
     if (writer != null) {
       BodyWriter unfinished = writer;
       writer = null;
@@ -641,7 +646,7 @@
     answerLeft();
     dropAhead();
     if (state == State.IN_HAND && exchange != null) {
-      server.clientGone(exchange);
+      server.clientDisconnected(exchange);
       exchange = null;
     }
     dropExchange();
@@ -659,7 +664,7 @@
     if (answering != null) {
       Exchange left = answering;
       answering = null;
-      server.answerLeft(left);
+      server.responseWritten(left);
     }
   }
 
@@ -672,7 +677,7 @@
         // It was handed over, but never became whole: it is owed no answer but this side's.
         passing.fail();
         passing = null;
-        server.clientGone(dropped);
+        server.clientDisconnected(dropped);
       } else {
         dropped.share().release();
       }
--- a/src/main/java/hazelspoke/operations/Figures.java
+++ b/src/main/java/hazelspoke/operations/GatewayMetrics.java
@@ -18,11 +18,11 @@
  * The figures of one process since its start. Counted on the loop; {@link #text} may be asked by
  * any thread.
  */
-public final class Figures implements Meter {
+public final class GatewayMetrics implements Meter {
   private static final String PREFIX = "svc.";
 
   /** The counts of one class, whose place may change when others come and go. */
-  private record OfClass(Counter passed, Counter dropped, Counter badGateway) {
+  private record ClassCounters(Counter passed, Counter dropped, Counter badGateway) {
     void count(Answer.Outcome outcome) {
       switch (outcome) {
         case SERVED -> passed.inc();
@@ -39,14 +39,14 @@
   private final Counter leftWaiting = registry.counter("left.waiting");
   private final Counter loads = registry.counter("loads");
   private final Counter loadErrors = registry.counter("load_errors");
-  private final List<OfClass> classes = new ArrayList<>();
+  private final List<ClassCounters> classes = new ArrayList<>();
   private final Map<LateAnswer, Counter> late = new EnumMap<>(LateAnswer.class);
   private final Map<Violations.Kind, Counter> violations = new EnumMap<>(Violations.Kind.class);
   private volatile int knownHosts;
   private volatile int skippedHosts;
 
   /** All at 0, for classes of these names, each at its place. */
-  public Figures(List<String> classNames) {
+  public GatewayMetrics(List<String> classNames) {
     registry.register("known_hosts", (Gauge<Integer>) () -> knownHosts);
     registry.register("skipped_hosts", (Gauge<Integer>) () -> skippedHosts);
     for (LateAnswer why : LateAnswer.values()) {
@@ -56,15 +56,15 @@
       String name = kind.name().toLowerCase(Locale.ROOT);
       violations.put(kind, registry.counter("violations." + name));
     }
-    nameClasses(classNames);
+    setClasses(classNames);
   }
 
   /** The classes are these from now on; one that was there before goes on from its counts. */
-  public void nameClasses(List<String> names) {
+  public void setClasses(List<String> names) {
     classes.clear();
     for (String name : names) {
       classes.add(
-          new OfClass(
+          new ClassCounters(
               registry.counter("passed." + name),
               registry.counter("dropped." + name),
               registry.counter("bad_gateway." + name)));
@@ -72,44 +72,44 @@
   }
 
   @Override
-  public void taken() {
+  public void onAccepted() {
     inProgress.inc();
   }
 
   @Override
-  public void answered(int requestClass, Answer.Outcome outcome) {
+  public void onAnswered(int requestClass, Answer.Outcome outcome) {
     inProgress.dec();
     classes.get(requestClass).count(outcome);
   }
 
   @Override
-  public void gone(boolean sent) {
+  public void onClientDisconnected(boolean sent) {
     inProgress.dec();
     (sent ? leftSent : leftWaiting).inc();
   }
 
   @Override
-  public void sent() {
+  public void onSent() {
     tries.inc();
   }
 
   @Override
-  public void late(LateAnswer why) {
+  public void onLateAnswer(LateAnswer why) {
     late.get(why).inc();
   }
 
   @Override
-  public void violated(Violations.Kind kind) {
+  public void onViolation(Violations.Kind kind) {
     violations.get(kind).inc();
   }
 
   /** Counts a file of new settings, taken or turned down. */
-  public void loaded(boolean good) {
+  public void reloaded(boolean good) {
     (good ? loads : loadErrors).inc();
   }
 
   /** Notes how many hosts are listed, and how many of these the gateway avoids now. */
-  public void hosts(int known, int skipped) {
+  public void setHostCounts(int known, int skipped) {
     knownHosts = known;
     skippedHosts = skipped;
   }
--- a/src/test/java/hazelspoke/node/AloneTest.java
+++ b/src/test/java/hazelspoke/node/PartitionedMemberTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** What a gateway does for its clients while it cannot hear its fleet. */
-class AloneTest {
+class PartitionedMemberTest {
   private static final List<String> NAMES = List.of("g1", "g2", "g3");
 
   @TempDir private Path folder;
@@ -83,14 +83,14 @@
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     List<FleetNode> others = new ArrayList<>(List.of(open("g2"), open("g3")));
     try (FakeServer host =
-            new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok("done")));
+            new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(1, host))) {
       Files.writeString(
           file, Rig.config("127.0.0.1:0", 160, discovery.address(), Rig.list(1, host)));
       Gateway gateway =
           new Gateway(GatewayConfig.read(environment), new PrintStream(log, true), Transport.TCP);
       try {
-        InetSocketAddress operators = gateway.openToOperators();
+        InetSocketAddress operators = gateway.openManagement();
         assertThat(gateway.isServing()).isFalse();
         gateway.joinFleet(settings("g1", alone));
         gateway.awaitFleet();
