--- a/src/main/java/ternscale/adapter/Adapter.java
+++ b/src/main/java/ternscale/adapter/Adapter.java
@@ -122,8 +122,7 @@
       throw in.error("settings: " + e.getMessage());
     }
     return () ->
-        balancers.put(
-            instance, new LcStarBalancer(settings, seed, now, out.forInstance(instance)));
+        balancers.put(instance, new LcStarBalancer(settings, seed, now, out.forInstance(instance)));
   }
 
   private Runnable members(Balancer b) {
