--- a/src/main/java/ternscale/policy/Admission.java
+++ b/src/main/java/ternscale/policy/Admission.java
@@ -30,6 +30,7 @@
 
   private static final double TYPICAL_STEP = 0.02;
 
+  /** Time since the last update from which an outcome moves the estimate by a full step. */
   private static final double TYPICAL_FULL_STEP_MS = 100;
 
   /**
--- a/src/main/java/ternscale/policy/HostTable.java
+++ b/src/main/java/ternscale/policy/HostTable.java
@@ -126,7 +126,7 @@
         ring.add(h);
       }
     }
-    // Hosts return under new ids, so a removed one is kept only while it has attempts in flight.
+    // Hosts are replaced under new ids; a removed one is kept only while it has attempts in flight.
     byId.values().removeIf(h -> h.availability == Availability.GONE && h.inFlight == 0);
     all = byId.values().toArray(Host[]::new);
     ring.sort(Comparator.comparingLong((Host h) -> h.hash).thenComparing(h -> h.id));
