--- a/src/main/java/hazelspoke/back/http/HostClient.java
+++ b/src/main/java/hazelspoke/back/http/HostClient.java
@@ -27,18 +27,19 @@
 import ternscale.api.HostEntry;
 import ternscale.api.Outcome.Result;
 
-/** The connections to hosts: one pool a host, most recently used first, and a bound for all. */
+/** Pools connections to hosts, most recently used first, within one limit for all hosts. */
 public final class HostClient implements Hosts {
-  /** A rested connection is closed after this part of the time after which its host closes it. */
-  private static final double IDLE_PART = 0.8;
+  /** Idle connections are closed after this fraction of the host's own idle timeout. */
+  private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
-  private static final long SWEEP_MS = 250;
+  private static final long IDLE_CHECK_INTERVAL_MS = 250;
 
   /**
-   * How long a connection stays unused behind an answer, in milliseconds. A host may write an
-   * answer twice, the second copy some milliseconds after the first. HTTP/1.1 has nothing that
-   * tells that copy from the answer to the next request, so none may be written before it could
-   * have come; bytes that come on an unused connection close it ({@link HostConnection#heard}).
+   * How long a connection is not reused after a response, in milliseconds. A host may send a
+   * response twice, the second copy some milliseconds after the first. HTTP/1.1 cannot distinguish
+   * that copy from the response to the next request, so no request is sent before the copy would
+   * have arrived; bytes that arrive on an idle connection close it ({@link
+   * HostConnection#bytesReceived}).
    */
   public static final double REUSE_DELAY_MS = 20;
 
@@ -46,7 +47,7 @@
   private final Transport transport;
   private final Clock clock;
   private final Bootstrap bootstrap;
-  private final double idleMs;
+  private final double idleTimeoutMs;
   private final int maxConnections;
   private final ByteBudget answerBudget;
   private final Map<String, Pool> pools = new HashMap<>();
@@ -64,7 +65,7 @@
     this.clock = clock;
     this.maxConnections = maxConnections;
     this.answerBudget = answerBudget;
-    idleMs = IDLE_PART * limits.idleConnectionMs();
+    idleTimeoutMs = IDLE_TIMEOUT_FRACTION * limits.idleConnectionMs();
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -74,7 +75,8 @@
             .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
             .option(
                 ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, limits.connectTimeoutMs()));
-    loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(
+        this::closeExpired, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
   ByteBudget answerBudget() {
@@ -97,7 +99,7 @@
     Pool pool = pools.computeIfAbsent(host.host(), name -> new Pool());
     if (pool.host != null
         && (!address.equals(pool.address) || host.startedAt() != pool.host.startedAt())) {
-      // Another process: what rests was opened to the one before it.
+      // A new process: idle connections lead to its predecessor.
       pool.closeIdle();
     }
     pool.address = address;
@@ -116,11 +118,11 @@
 
   @Override
   public void keepOnly(Set<String> hosts) {
-    List<String> gone = pools.keySet().stream().filter(host -> !hosts.contains(host)).toList();
-    gone.forEach(this::forget);
+    List<String> unlisted = pools.keySet().stream().filter(host -> !hosts.contains(host)).toList();
+    unlisted.forEach(this::forget);
   }
 
-  /** How many hosts are known. */
+  /** Returns the number of known hosts. */
   public int size() {
     return pools.size();
   }
@@ -164,35 +166,35 @@
     return false;
   }
 
-  private void sweep() {
-    double before = clock.nowMs() - idleMs;
+  private void closeExpired() {
+    double expiredSinceMs = clock.nowMs() - idleTimeoutMs;
     for (Pool pool : pools.values()) {
-      while (!pool.idle.isEmpty() && pool.idle.peekLast().restsSince < before) {
+      while (!pool.idle.isEmpty() && pool.idle.peekLast().idleSinceMs < expiredSinceMs) {
         pool.idle.pollLast().close();
       }
     }
   }
 
-  /** One call under way; lets its owner stop waiting. */
+  /** A call in progress, which its owner can cancel. */
   private final class Ticket implements Hosts.Ticket {
     private final HostCall call;
     private HostConnection connection;
     private boolean begun;
-    private boolean over;
+    private boolean cancelled;
 
     private Ticket(HostCall call) {
       this.call = call;
     }
 
-    /** Whoever asked may have left while this process stood still: that is heard first. */
+    /** Begins after pending input was read, as the client may have disconnected during a stall. */
     private void beginAfterReading() {
       Turns.afterReading(loop, this::begin);
     }
 
     private void begin() {
-      // To ask may give this up, as it reads what the client has sent by now.
-      boolean may = !over && call.mayBegin();
-      if (may && !over && connection.isOfListedHost()) {
+      // May cancel this ticket, as it reads pending input of the client.
+      boolean mayBegin = !cancelled && call.mayBegin();
+      if (mayBegin && !cancelled && connection.isOfListedHost()) {
         begun = true;
         connection.begin(call);
       } else {
@@ -202,7 +204,7 @@
     }
 
     private void fail(Result result) {
-      if (!over) {
+      if (!cancelled) {
         call.ended(result, "");
       }
     }
@@ -219,14 +221,14 @@
 
     @Override
     public void giveUp() {
-      over = true;
+      cancelled = true;
       if (connection != null) {
-        connection.giveUp();
+        connection.abandonCall();
       }
     }
   }
 
-  /** The connections to one host. */
+  /** The connections to one host, and its address. */
   public final class Pool {
     private final Deque<HostConnection> idle = new ArrayDeque<>();
     private InetSocketAddress address;
@@ -241,18 +243,21 @@
       return address.getHostString() + ":" + address.getPort();
     }
 
-    /** The most recently used connection that has settled, or null; closes expired ones. */
+    /**
+     * Removes the most recently used connection past {@link #REUSE_DELAY_MS}, or returns null.
+     * Closes expired connections that it passes.
+     */
     private HostConnection takeIdle() {
       double now = clock.nowMs();
       Iterator<HostConnection> mostRecentFirst = idle.iterator();
       while (mostRecentFirst.hasNext()) {
         HostConnection connection = mostRecentFirst.next();
-        double restedMs = now - connection.restsSince;
-        if (restedMs < REUSE_DELAY_MS) {
+        double idleForMs = now - connection.idleSinceMs;
+        if (idleForMs < REUSE_DELAY_MS) {
           continue;
         }
         mostRecentFirst.remove();
-        if (connection.isOpen() && restedMs <= idleMs) {
+        if (connection.isOpen() && idleForMs <= idleTimeoutMs) {
           return connection;
         }
         connection.close();
@@ -280,40 +285,40 @@
               connecting.channel().closeFuture().addListener(closed -> connections--);
               ticket.beginAfterReading();
             } else {
-              // On the loop: where no socket could be had this is told on another thread.
-              loop.execute(() -> connectFailed(ticket, done.cause()));
+              // On the loop, as a failure to open a socket is reported on another thread.
+              loop.execute(() -> onConnectFailed(ticket, done.cause()));
             }
           });
     }
 
-    private void connectFailed(Ticket ticket, Throwable cause) {
-      // Not by the channel's end: one that got no descriptor has none.
+    private void onConnectFailed(Ticket ticket, Throwable cause) {
+      // Not in a close listener: a channel without a descriptor reports no close.
       connections--;
-      ticket.fail(reached(cause) ? Result.CONNECT_FAILED : Result.NOT_SENT);
+      ticket.fail(isHostFailure(cause) ? Result.CONNECT_FAILED : Result.NOT_SENT);
     }
 
-    /** Whether it is the host that failed, not this machine that lacks a descriptor or port. */
-    private static boolean reached(Throwable cause) {
+    /** Whether the failure is the host's, not a lack of descriptors or ports on this machine. */
+    private static boolean isHostFailure(Throwable cause) {
       return !(cause instanceof BindException || cause instanceof ChannelException);
     }
 
-    void rest(HostConnection c) {
+    void addIdle(HostConnection connection) {
       if (forgotten) {
-        c.close();
+        connection.close();
         return;
       }
-      c.restsSince = clock.nowMs();
-      idle.addFirst(c);
+      connection.idleSinceMs = clock.nowMs();
+      idle.addFirst(connection);
     }
 
-    void closed(HostConnection c) {
-      idle.remove(c);
+    void remove(HostConnection connection) {
+      idle.remove(connection);
     }
 
     private void closeIdle() {
-      HostConnection c;
-      while ((c = idle.pollFirst()) != null) {
-        c.close();
+      HostConnection connection;
+      while ((connection = idle.pollFirst()) != null) {
+        connection.close();
       }
     }
   }
--- a/src/main/java/hazelspoke/back/http/HostConnection.java
+++ b/src/main/java/hazelspoke/back/http/HostConnection.java
@@ -35,62 +35,66 @@
 import ternscale.api.Outcome.Result;
 import ternscale.api.Settings.Effect;
 
-/** One connection to a host, with one call on it at a time; maps what comes back to outcomes. */
+/** A connection to a host. Carries one call at a time and maps the response to an outcome. */
 final class HostConnection extends ChannelInboundHandlerAdapter {
   /**
-   * How long the last byte waits for news of a broken connection: about a round trip. A host may
-   * have closed a connection behind its last answer, or reset it at the first byte; only before the
-   * last byte does that prove that nothing ran. What may be repeated need not know.
+   * How long the last byte of a request is withheld to detect a broken connection: about one round
+   * trip. A host may have closed the connection after its previous response, or may reset it on the
+   * first byte. This proves that the request did not run only as long as the last byte has not been
+   * sent. Not needed for repeatable requests.
    */
   private static final long LAST_BYTE_WAIT_MS = 2;
 
   /**
-   * A host writes its answer at once: one that stops in the middle for this long does not fit its
-   * own head. It is as good as spoilt, and waiting on would only keep its request from another try.
+   * Hosts write a response without pauses, so one that pauses for this long does not match its own
+   * head. It is treated as malformed; waiting longer would only delay the next attempt of the
+   * request.
    */
-  private static final long STALL_MS = 100;
+  private static final long RESPONSE_STALL_MS = 100;
 
-  /** What is passed on as it comes may come slowly; and its client has a part of it already. */
-  private static final long PASSING_STALL_MS = 5_000;
+  /**
+   * Stall limit of a streamed response: it may be slow, and its client already has a part of it.
+   */
+  private static final long STREAM_STALL_MS = 5_000;
 
   private final HostClient client;
   private final HostClient.Pool pool;
-  private final LastByteGate gate = new LastByteGate();
-  private final ResponseStartValidator guard = new ResponseStartValidator(this);
+  private final LastByteGate lastByteGate = new LastByteGate();
+  private final ResponseStartValidator startValidator = new ResponseStartValidator(this);
   private final StrictResponseDecoder decoder =
       new StrictResponseDecoder(HttpLimits.decoderConfig());
   private final Channel channel;
 
-  /** The call on this connection; null while it rests or reads what is left of an answer. */
+  /** The call on this connection; null while idle or while the remainder of a response is read. */
   private HostCall call;
 
-  /** Whether the call asks for the host's load. */
+  /** Whether the call is a probe of the host's load. */
   private boolean probing;
 
   private BodyWriter writer;
   private boolean sent;
 
-  /** Whether it was closed from here; what its host had to say before it closed it still counts. */
+  /** Whether this side closed it. Bytes that precede a close by the host are still processed. */
   private boolean closed;
 
-  /** Whether bytes have come that may be the beginning of an answer, since the last look. */
-  private boolean heard;
+  /** Whether bytes of a response may have arrived since the last {@link #channelReadComplete}. */
+  private boolean bytesReceived;
 
   private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
-  private boolean reading;
+  private boolean readingResponse;
   private boolean reusable;
-  private long read;
-  private Body answer;
-  private ByteBudget.Share share;
+  private long bodyBytesRead;
+  private Body responseBody;
+  private ByteBudget.Share responseShare;
 
-  /** Where the rest of an answer goes that is too large to be held; null with any other. */
-  private Inflow passing;
+  /** Receives the remainder of a response too large to be buffered; null for any other. */
+  private Inflow remainder;
 
-  /** Of an answer that ends with its connection no length can be told. */
+  /** Whether the response is delimited by the end of the connection, so its length is unknown. */
   private boolean endsByClose;
 
   private ScheduledFuture<?> stallCheck;
-  double restsSince;
+  double idleSinceMs;
 
   HostConnection(HostClient client, HostClient.Pool pool, Channel channel) {
     this.client = client;
@@ -98,16 +102,16 @@
     this.channel = channel;
   }
 
-  /** Sets up what lies between the socket and this. */
+  /** Adds this handler and those before it to the pipeline of its channel. */
   void addTo(ChannelPipeline pipeline) {
-    pipeline.addLast(gate, guard, decoder, this);
+    pipeline.addLast(lastByteGate, startValidator, decoder, this);
   }
 
   boolean isOpen() {
     return channel.isActive();
   }
 
-  /** Whether discovery still lists its host. */
+  /** Whether discovery still lists the host of this connection. */
   boolean isOfListedHost() {
     return !pool.isForgotten();
   }
@@ -117,7 +121,9 @@
     channel.close();
   }
 
-  /** Whether the last byte of the call was handed to the socket: from then on it may run. */
+  /**
+   * Whether the last byte of the call was handed to the socket, after which the host may run it.
+   */
   boolean isSent() {
     return sent;
   }
@@ -125,16 +131,16 @@
   void begin(HostCall next) {
     call = next;
     sent = false;
-    reading = false;
+    readingResponse = false;
     headers = EmptyHttpHeaders.INSTANCE;
-    guard.expectAnswer();
+    startValidator.expectResponse();
     Request request = next.request();
-    // Of a connection that came up a moment ago there is no news to wait for, and what may be
-    // repeated need not know.
+    // A new connection cannot have been closed after an earlier response, and repeatable requests
+    // need no proof that they did not run.
     probing = request == null;
-    boolean wait = restsSince > 0 && !probing && request.effect() == Effect.ONCE;
-    if (wait) {
-      gate.close();
+    boolean withholdLastByte = idleSinceMs > 0 && !probing && request.effect() == Effect.ONCE;
+    if (withholdLastByte) {
+      lastByteGate.close();
     }
     Body body = probing ? new Body() : request.body();
     writer =
@@ -142,8 +148,8 @@
             channel,
             body,
             body.wholeLength() == Body.UNKNOWN,
-            wait ? this::allButLastWritten : this::lastWritten,
-            this::broken);
+            withholdLastByte ? this::onAllButLastByteWritten : this::onLastByteWritten,
+            this::terminate);
     writer.start(head(request, next.remainingMs()));
   }
 
@@ -167,40 +173,42 @@
     return head;
   }
 
-  private void allButLastWritten(Future<? super Void> written) {
+  private void onAllButLastByteWritten(Future<? super Void> written) {
     writer = null;
     if (!written.isSuccess() || !channel.isActive()) {
-      broken();
+      terminate();
       return;
     }
-    HostCall mine = call;
+    HostCall withheld = call;
     EventLoop loop = channel.eventLoop();
     loop.schedule(
-        // The news may lie unread, of this connection or of the client, where the loop stood still.
-        () -> Turns.afterReading(loop, () -> letGo(mine)),
+        // After a stall of the loop, a close by the host or by the client may still be unread.
+        () -> Turns.afterReading(loop, () -> sendLastByte(withheld)),
         LAST_BYTE_WAIT_MS,
         TimeUnit.MILLISECONDS);
   }
 
-  /** Each step may end the call: what the host or the client has said by now is read first. */
-  private void letGo(HostCall of) {
+  /**
+   * Sends the withheld last byte. Each step before that reads pending input and may end the call.
+   */
+  private void sendLastByte(HostCall expected) {
     Turns.readPending(channel);
-    if (of == null || call != of || !channel.isActive()) {
+    if (expected == null || call != expected || !channel.isActive()) {
       return;
     }
-    boolean may = of.mayFinish();
-    if (call != of) {
+    boolean mayFinish = expected.mayFinish();
+    if (call != expected) {
       return;
     }
-    if (may) {
-      gate.letGo().addListener(this::lastWritten);
+    if (mayFinish) {
+      lastByteGate.release().addListener(this::onLastByteWritten);
     } else {
-      end(Result.NOT_SENT);
+      endCall(Result.NOT_SENT);
       close();
     }
   }
 
-  private void lastWritten(Future<? super Void> written) {
+  private void onLastByteWritten(Future<? super Void> written) {
     writer = null;
     if (written.isSuccess()) {
       sent = true;
@@ -208,7 +216,7 @@
         call.sent();
       }
     } else {
-      broken();
+      terminate();
     }
   }
 
@@ -220,131 +228,133 @@
   }
 
   /**
-   * Bytes have come. Those that come while nothing is asked, or before all of the request is out,
-   * belong to no request of ours: a second copy or noise behind an earlier answer.
+   * Called when bytes arrive, before they are decoded. Bytes that arrive while no request is
+   * pending or before the request has been sent completely responseBody no request: they are a
+   * duplicate of an earlier response, or invalid bytes after one.
    */
-  void heard() {
+  void bytesReceived() {
     if (sent) {
-      heard = true;
+      bytesReceived = true;
     } else {
-      broken();
+      terminate();
     }
   }
 
-  /** All that was there has been read: an answer that is not whole by now is watched. */
+  /** Starts the stall check if all available bytes were read and the response is incomplete. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (heard) {
-      heard = false;
-      if (call != null || reading) {
-        watchStall();
+    if (bytesReceived) {
+      bytesReceived = false;
+      if (call != null || readingResponse) {
+        scheduleStallCheck();
       }
     }
     ctx.fireChannelReadComplete();
   }
 
-  /** What came instead of an answer is none: the host may have run the request all the same. */
-  void spoilt() {
+  /** Fails the call because of a malformed response. The host may still have run the request. */
+  void rejectResponse() {
     if (call != null && sent) {
-      HostCall mine = call;
+      HostCall failed = call;
       call = null;
-      clear();
-      mine.ended(Result.ERROR, report());
+      releaseResponse();
+      failed.ended(Result.ERROR, report());
     }
-    broken();
+    terminate();
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     try {
       if (closed) {
-        // Closed on account of what came before it in the same bytes.
+        // Closed because of an earlier message from the same read.
         return;
       }
       if (message instanceof HttpResponse response) {
-        answerHead(response);
+        onResponseHead(response);
       } else if (!(message instanceof HttpContent)) {
-        // Bytes of another protocol.
-        spoilt();
+        // Not HTTP.
+        rejectResponse();
         return;
       }
-      if (message instanceof HttpContent content && reading) {
-        answerContent(content);
+      if (message instanceof HttpContent content && readingResponse) {
+        onResponseContent(content);
       }
     } finally {
       ReferenceCountUtil.release(message);
     }
   }
 
-  private void answerHead(HttpResponse response) {
+  private void onResponseHead(HttpResponse response) {
     if (call == null || response.decoderResult().isFailure()) {
-      // Nothing was asked, or it is no HTTP: whatever it is, it answers no later request.
-      spoilt();
+      // Without a pending request, or not HTTP; must not be taken for a response to a later
+      // request.
+      rejectResponse();
       return;
     }
     if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-      unwatchStall();
-      heard = false;
+      cancelStallCheck();
+      bytesReceived = false;
       return;
     }
-    reading = true;
-    read = 0;
+    readingResponse = true;
+    bodyBytesRead = 0;
     headers = response.headers();
     long length = HttpUtil.getContentLength(response, -1L);
     reusable = HttpUtil.isKeepAlive(response);
-    // One without a length ends with its connection, and so does one that broke off: only where the
-    // head says that the connection ends is it taken for whole.
+    // A response without a length ends with its connection, and so does a truncated one: it counts
+    // as complete only if its head announces that the connection closes.
     endsByClose = length < 0 && !HttpUtil.isTransferEncodingChunked(response);
     boolean fits = length <= Body.MOST_BYTES && !(endsByClose && reusable);
     if (!response.status().equals(HttpResponseStatus.OK)) {
-      boolean turnedAway =
+      boolean rejected =
           (response.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                   || response.status().equals(HttpResponseStatus.GATEWAY_TIMEOUT))
               && "1".equals(headers.get(Headers.TURNED_AWAY));
-      end(turnedAway ? Result.REJECTED : Result.ERROR);
+      endCall(rejected ? Result.REJECTED : Result.ERROR);
     } else if (fits) {
-      answer = new Body();
-      share = client.answerBudget().share(this::resumeReading);
+      responseBody = new Body();
+      responseShare = client.answerBudget().share(this::resumeReading);
       if (length > Body.WHOLE_ANSWER_BYTES) {
-        passOn(length);
+        startStreaming(length);
       }
     }
     if (!fits) {
-      spoilt();
+      rejectResponse();
     }
   }
 
-  private void answerContent(HttpContent content) {
+  private void onResponseContent(HttpContent content) {
     if (content.decoderResult().isFailure()) {
-      spoilt();
+      rejectResponse();
       return;
     }
     ByteBuf bytes = content.content();
-    read += bytes.readableBytes();
-    if (read > Body.MOST_BYTES) {
-      spoilt();
+    bodyBytesRead += bytes.readableBytes();
+    if (bodyBytesRead > Body.MOST_BYTES) {
+      rejectResponse();
       return;
     }
-    if (passing != null && bytes.isReadable()) {
-      passing.offer(ByteBufUtil.getBytes(bytes));
+    if (remainder != null && bytes.isReadable()) {
+      remainder.offer(ByteBufUtil.getBytes(bytes));
     } else if (call != null && bytes.isReadable()) {
       int more = bytes.readableBytes();
-      answer.append(bytes);
-      if (!share.add(more)) {
+      responseBody.append(bytes);
+      if (!responseShare.add(more)) {
         channel.config().setAutoRead(false);
       }
-      if (answer.length() > Body.WHOLE_ANSWER_BYTES) {
-        passOn(Body.UNKNOWN);
+      if (responseBody.length() > Body.WHOLE_ANSWER_BYTES) {
+        startStreaming(Body.UNKNOWN);
       }
     }
     if (content instanceof LastHttpContent) {
-      answerWhole();
+      onResponseComplete();
     }
   }
 
-  /** Hands over an answer of which only the beginning is there; the rest goes on as it comes. */
-  private void passOn(long length) {
-    passing =
+  /** Delivers a response whose body is incomplete; the remainder is streamed as it arrives. */
+  private void startStreaming(long length) {
+    remainder =
         new Inflow(
             new ReadingSource(channel) {
               @Override
@@ -352,28 +362,28 @@
                 close();
               }
             });
-    answer.continueWith(passing, length);
-    hand();
+    responseBody.continueWith(remainder, length);
+    deliver();
   }
 
-  private void hand() {
+  private void deliver() {
     HostCall done = call;
-    Body body = answer;
-    ByteBudget.Share held = share;
+    Body body = responseBody;
+    ByteBudget.Share deliveredShare = responseShare;
     call = null;
-    answer = null;
-    share = null;
+    responseBody = null;
+    responseShare = null;
     String report = probing ? body.text() : report();
-    done.answered(Headers.endToEnd(headers), report, body, held);
+    done.answered(Headers.endToEnd(headers), report, body, deliveredShare);
   }
 
-  private void watchStall() {
-    unwatchStall();
-    long ms = passing == null ? STALL_MS : PASSING_STALL_MS;
-    stallCheck = channel.eventLoop().schedule(this::checkStall, ms, TimeUnit.MILLISECONDS);
+  private void scheduleStallCheck() {
+    cancelStallCheck();
+    long limitMs = remainder == null ? RESPONSE_STALL_MS : STREAM_STALL_MS;
+    stallCheck = channel.eventLoop().schedule(this::checkStall, limitMs, TimeUnit.MILLISECONDS);
   }
 
-  private void unwatchStall() {
+  private void cancelStallCheck() {
     if (stallCheck != null) {
       stallCheck.cancel(false);
       stallCheck = null;
@@ -382,10 +392,10 @@
 
   private void checkStall() {
     if (channel.config().isAutoRead()) {
-      spoilt();
+      rejectResponse();
     } else {
-      // It is this side that does not read on.
-      watchStall();
+      // Reading is paused by this side, so the host is not at fault.
+      scheduleStallCheck();
     }
   }
 
@@ -393,19 +403,20 @@
     channel.config().setAutoRead(true);
   }
 
-  private void answerWhole() {
-    reading = false;
-    reusable &= !decoder.hasMore();
-    unwatchStall();
-    // On a turn of its own, after all that came with the answer: what lies behind it closes the
-    // connection before it can be used again.
-    channel.eventLoop().execute(this::rest);
-    if (passing != null) {
-      Inflow whole = passing;
-      passing = null;
-      whole.end();
+  private void onResponseComplete() {
+    readingResponse = false;
+    reusable &= !decoder.hasUndecodedBytes();
+    cancelStallCheck();
+    // In a later event-loop iteration, after all bytes that arrived with the response: surplus
+    // bytes
+    // close the connection before it can be reused.
+    channel.eventLoop().execute(this::becomeIdle);
+    if (remainder != null) {
+      Inflow complete = remainder;
+      remainder = null;
+      complete.end();
     } else if (call != null) {
-      hand();
+      deliver();
     }
   }
 
@@ -413,31 +424,31 @@
     return headers.get(Headers.LOAD_REPORT, "");
   }
 
-  private void rest() {
+  private void becomeIdle() {
     sent = false;
     headers = EmptyHttpHeaders.INSTANCE;
-    unwatchStall();
+    cancelStallCheck();
     channel.config().setAutoRead(true);
-    if (reusable && !decoder.hasMore() && channel.isActive()) {
-      pool.rest(this);
+    if (reusable && !decoder.hasUndecodedBytes() && channel.isActive()) {
+      pool.addIdle(this);
     } else {
       close();
     }
   }
 
-  /** Stops waiting: a connection with a call given up on it is never used again. */
-  void giveUp() {
+  /** Abandons the call without notifying it. The connection is closed and never reused. */
+  void abandonCall() {
     call = null;
-    broken();
+    terminate();
   }
 
-  /** The connection broke, or is of no more use. */
-  private void broken() {
-    reading = false;
-    if (passing != null) {
-      Inflow cut = passing;
-      passing = null;
-      cut.fail();
+  /** Ends the call, if any, and closes the connection, which is broken or no longer usable. */
+  private void terminate() {
+    readingResponse = false;
+    if (remainder != null) {
+      Inflow truncated = remainder;
+      remainder = null;
+      truncated.fail();
     }
     if (writer != null) {
       BodyWriter unfinished = writer;
@@ -445,37 +456,37 @@
       unfinished.abandon();
     }
     if (call != null) {
-      end(sent ? Result.RESET : Result.CONNECT_FAILED);
+      endCall(sent ? Result.RESET : Result.CONNECT_FAILED);
     } else {
-      clear();
+      releaseResponse();
     }
     close();
   }
 
-  private void end(Result result) {
+  private void endCall(Result result) {
     HostCall ended = call;
     call = null;
-    clear();
+    releaseResponse();
     ended.ended(result, report());
   }
 
-  private void clear() {
-    answer = null;
-    if (share != null) {
-      share.release();
-      share = null;
+  private void releaseResponse() {
+    responseBody = null;
+    if (responseShare != null) {
+      responseShare.release();
+      responseShare = null;
     }
-    unwatchStall();
+    cancelStallCheck();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    broken();
+    terminate();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    broken();
-    pool.closed(this);
+    terminate();
+    pool.remove(this);
   }
 }
--- a/src/main/java/hazelspoke/back/http/LastByteGate.java
+++ b/src/main/java/hazelspoke/back/http/LastByteGate.java
@@ -7,13 +7,13 @@
 import io.netty.channel.ChannelPromise;
 
 /**
- * While it is closed, keeps back the last byte of what is written until it is let go. A host begins
- * a request with its last byte, so a connection that turns out to be broken before that proves that
- * nothing ran.
+ * While closed, withholds the last byte written until {@link #release}. A host runs a request only
+ * once it has the last byte, so a connection that breaks before that proves that the request did
+ * not run.
  */
 final class LastByteGate extends ChannelOutboundHandlerAdapter {
   private ChannelHandlerContext context;
-  private ByteBuf kept;
+  private ByteBuf withheldByte;
   private boolean closed;
 
   @Override
@@ -27,32 +27,32 @@
       ctx.write(message, promise);
       return;
     }
-    if (kept != null) {
-      ctx.write(kept);
+    if (withheldByte != null) {
+      ctx.write(withheldByte);
     }
-    kept = bytes.alloc().buffer(1, 1).writeByte(bytes.getByte(bytes.writerIndex() - 1));
+    withheldByte = bytes.alloc().buffer(1, 1).writeByte(bytes.getByte(bytes.writerIndex() - 1));
     bytes.writerIndex(bytes.writerIndex() - 1);
     ctx.write(bytes, promise);
   }
 
-  /** From now on the last byte of what is written is kept back. */
+  /** Withholds the last byte written from now on. */
   void close() {
     closed = true;
   }
 
-  /** Writes the byte that was kept back, and opens. */
-  ChannelFuture letGo() {
+  /** Writes the withheld byte and passes all later writes through. */
+  ChannelFuture release() {
     closed = false;
-    ByteBuf last = kept;
-    kept = null;
+    ByteBuf last = withheldByte;
+    withheldByte = null;
     return context.writeAndFlush(last);
   }
 
   @Override
   public void handlerRemoved(ChannelHandlerContext ctx) {
-    if (kept != null) {
-      kept.release();
-      kept = null;
+    if (withheldByte != null) {
+      withheldByte.release();
+      withheldByte = null;
     }
   }
 }
--- a/src/main/java/hazelspoke/back/http/ResponseStartValidator.java
+++ b/src/main/java/hazelspoke/back/http/ResponseStartValidator.java
@@ -6,12 +6,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Sees what a host sends before it is decoded. A decoder waits for the end of a line, so noise
- * without one would keep its request waiting; and it hands out an answer whenever one comes, asked
- * for or not. Any answer begins with the name of the protocol, so nothing good is lost here.
+ * Checks the first bytes of each response before they are decoded. The decoder waits for the end of
+ * a line, so invalid bytes without one would keep the request waiting, and it emits a response even
+ * if no request is pending. Every valid response begins with the protocol name, so none is rejected
+ * here.
  */
 final class ResponseStartValidator extends ChannelInboundHandlerAdapter {
-  private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] RESPONSE_START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
   private final HostConnection connection;
   private int matched;
@@ -20,20 +21,20 @@
     this.connection = connection;
   }
 
-  void expectAnswer() {
+  void expectResponse() {
     matched = 0;
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     if (message instanceof ByteBuf bytes && bytes.isReadable()) {
-      connection.heard();
-      int at = bytes.readerIndex();
-      while (matched < START.length && at < bytes.writerIndex()) {
-        if (bytes.getByte(at++) != START[matched++]) {
-          matched = START.length;
+      connection.bytesReceived();
+      int index = bytes.readerIndex();
+      while (matched < RESPONSE_START.length && index < bytes.writerIndex()) {
+        if (bytes.getByte(index++) != RESPONSE_START[matched++]) {
+          matched = RESPONSE_START.length;
           bytes.release();
-          connection.spoilt();
+          connection.rejectResponse();
           return;
         }
       }
--- a/src/main/java/hazelspoke/back/http/StrictResponseDecoder.java
+++ b/src/main/java/hazelspoke/back/http/StrictResponseDecoder.java
@@ -6,16 +6,16 @@
 import io.netty.util.AsciiString;
 
 /**
- * Takes no answer whose head only looks like one. Where its decoder would guess, the answer is
- * spoilt: what follows such a head may be anything, and to serve it could pass on what no host made
- * for the request. Old servers that leave a blank before the colon would be turned down with it.
+ * Rejects malformed response heads that Netty's decoder would tolerate. The bytes after such a head
+ * may be anything, and forwarding them could give the client a response that no host made for its
+ * request. This also rejects old servers that send a blank before the colon of a header.
  */
 final class StrictResponseDecoder extends HttpResponseDecoder {
   StrictResponseDecoder(HttpDecoderConfig config) {
     super(config);
   }
 
-  /** The decoder ends a name at a blank as well, with or without a colon behind it. */
+  /** Rejects header names without a colon; Netty also ends a name at a blank. */
   @Override
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
     if (line[start + length] != ':') {
@@ -29,8 +29,8 @@
     throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
   }
 
-  /** Whether bytes have come behind what was decoded last. */
-  boolean hasMore() {
+  /** Whether undecoded bytes follow the last decoded message. */
+  boolean hasUndecodedBytes() {
     return actualReadableBytes() > 0;
   }
 }
