--- a/src/main/java/hazelspoke/front/http/BadRequestException.java
+++ b/src/main/java/hazelspoke/front/http/BadRequestException.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** A request that cannot be taken on; the message is a short text for its sender. */
+/** A request that is rejected; the message is a short text for its sender. */
 final class BadRequestException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/hazelspoke/front/http/ClientConnection.java
+++ b/src/main/java/hazelspoke/front/http/ClientConnection.java
@@ -36,40 +36,43 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 
-/** One connection of a client's: reads its requests one after the other, and writes the answers. */
+/** A client connection: reads requests one after the other and writes the responses. */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements Client {
-  /** What a client may send ahead while its answer is being written; then reading stops. */
-  private static final int MOST_AHEAD_BYTES = 16_384;
+  /** Limit of input buffered while a response is being written; beyond it reading is paused. */
+  private static final int MAX_PIPELINED_BYTES = 16_384;
 
-  private static final int HEAD_BYTES_ASSUMED = 1_024;
+  private static final int ASSUMED_HEAD_BYTES = 1_024;
 
-  /** How long a connection is read on after its last answer, so that no reset destroys that. */
+  /** How long input is read after the last response, so that no reset destroys that response. */
   private static final long LINGER_MS = 1_000;
 
-  /** And how much of what still comes: a client that sends on and on is not worth the reading. */
-  private static final int MOST_LINGER_BYTES = 262_144;
+  /** Limit of the input discarded in that time. */
+  private static final int MAX_LINGER_BYTES = 262_144;
 
-  /** But the rest of a request that was taken is read for so long, or its sender sees a reset. */
-  private static final double MOST_LINGER_MS = 10_000;
+  /**
+   * Time limit for reading the remainder of an accepted request after its response, so that its
+   * sender sees no reset.
+   */
+  private static final double MAX_LINGER_MS = 10_000;
 
-  /** What the connection is at, in the order in which others may take its place. */
+  /** State of the connection, in the order of eviction. */
   enum State {
-    /** The last answer is out; what still comes is not read as a request. */
+    /** The last response was written; further input is discarded. */
     CLOSING,
-    /** Accepted, and no request has begun to come. */
+    /** Accepted, and no bytes received. */
     FRESH,
-    /** The first bytes of a request have come, and its head is not whole. */
+    /** The first bytes of a request were received, and its head is incomplete. */
     HEAD,
     /** Between requests. */
     IDLE,
-    /** The head of a request has come, and the body has not, or not all of it. */
+    /** The head of a request was received, and its body is incomplete. */
     READING,
-    /** A whole request has not been answered. */
+    /** A complete request awaits its response. */
     IN_HAND,
-    /** An answer is being written. */
+    /** A response is being written. */
     ANSWERING;
 
-    /** Whether bytes of a request were read that has had no whole answer. */
+    /** Whether a request was received, at least in part, whose response is incomplete. */
     boolean isAwaitingResponse() {
       return this == HEAD || this == READING || this == IN_HAND || this == ANSWERING;
     }
@@ -77,97 +80,102 @@
 
   private final ClientServer server;
   private final Channel channel;
-  private final Deque<HttpObject> ahead = new ArrayDeque<>();
-  private int aheadBytes;
+  private final Deque<HttpObject> pipelined = new ArrayDeque<>();
+  private int pipelinedBytes;
   private State state = State.FRESH;
   private HttpVersion version = HttpVersion.HTTP_1_1;
   private boolean keepAlive;
-  private boolean health;
+  private boolean isHealthCheck;
   private Exchange exchange;
 
-  /** What the answer that is being written answers; null with the gateway's own words to none. */
+  /**
+   * The request whose response is being written; null if the gateway responds to no valid request.
+   */
   private Exchange answering;
 
   private BodyWriter writer;
-  private ByteBudget.Share answerShare;
+  private ByteBudget.Share responseShare;
   private int lingerBytes;
 
-  /** Whether an answer went out to a request that was taken and whose rest is still coming. */
-  private boolean unfinished;
+  /** Whether the response was sent before the remainder of the accepted request was received. */
+  private boolean awaitsRequestBody;
 
-  private double enteredAt;
+  private double enteredAtMs;
 
-  /** When it is looked at next whether a client that was answered still sends on. */
-  private double lingerUntil;
+  /** Time of the next check whether the client still sends after the last response. */
+  private double lingerUntilMs;
 
-  /** Of the request that is being read: its bytes so far, and when the last of them came. */
+  /** Number of body bytes received of the current request. */
   private long bodyBytes;
 
-  /** What its head says that it will have, or {@link Body#UNKNOWN}. */
+  /** Its body length according to the head, or {@link Body#UNKNOWN}. */
   private long declaredBytes;
 
-  private double heardAt;
+  /** When the last bytes were received. */
+  private double lastBytesAtMs;
 
-  /** From when on its rate is looked at, and the bytes that had come by then. */
-  private double countedFrom;
+  /** Start of the time over which the rate of the body is measured. */
+  private double countedFromMs;
 
+  /** Body bytes received by that start. */
   private long countedBytes;
 
-  /** Where the rest of a request goes that is handed over already; null with any other. */
-  private Inflow passing;
+  /** Receives the remainder of a request that was handed over incomplete; null for any other. */
+  private Inflow remainder;
 
-  /** How far an answer had come when that was last looked at, and since when it stands there. */
-  private long seenGone;
+  /** Pieces of the response written to the socket at the last progress. */
+  private long piecesSeen;
 
-  private double seenGoneAt;
+  /** Time of the last progress of the response, as observed by {@link #isUnread}. */
+  private double lastProgressAtMs;
 
   ClientConnection(ClientServer server, Channel channel) {
     this.server = server;
     this.channel = channel;
-    enteredAt = server.nowMs();
+    enteredAtMs = server.nowMs();
   }
 
   State state() {
     return state;
   }
 
-  /** Since when the connection is at what it is at; trickling bytes do not renew it. */
-  double enteredAt() {
-    return enteredAt;
+  /** When the connection entered its state; further bytes in the same state do not renew it. */
+  double enteredAtMs() {
+    return enteredAtMs;
   }
 
-  /** Bytes have come, which are not decoded yet. */
+  /** Called when bytes arrive, before they are decoded. */
   void bytesReceived() {
-    heardAt = server.nowMs();
+    lastBytesAtMs = server.nowMs();
     if (state == State.FRESH || state == State.IDLE) {
       enter(State.HEAD);
       if (server.isRejectingRequests()) {
-        turnAway(HttpResponseStatus.SERVICE_UNAVAILABLE, "closing");
+        reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "closing");
       }
     }
   }
 
   private void close() {
-    // At once, as the channel tells of its end on a later turn.
+    // At once, as the channel reports its close in a later event-loop iteration.
     server.connectionClosed(this);
     channel.close();
   }
 
-  /** Closes it from here, where its client is not known to have gone. */
-  private void closeUnasked() {
+  /** Closes the connection although the client is not known to have disconnected. */
+  private void closeFromThisSide() {
     if (hasPendingResponse() && channel.isActive()) {
       server.reportViolation(Violations.Kind.CLOSED_UNANSWERED, describe());
     }
     close();
   }
 
-  /** Whether a request has begun here whose answer waits for this side, not for its client. */
+  /** Whether a request has begun whose response is delayed by this side, not by its client. */
   boolean hasPendingResponse() {
-    boolean unread = state == State.ANSWERING && writer != null && writer.awaitsPeer();
-    return state.isAwaitingResponse() && !unread;
+    boolean awaitsClient = state == State.ANSWERING && writer != null && writer.awaitsPeer();
+    return state.isAwaitingResponse() && !awaitsClient;
   }
 
-  /** The request that is open here, for the log. */
+  /** Describes the open request, for the log. */
   String describe() {
     Exchange open = exchange != null ? exchange : answering;
     String txn = open == null || open.request() == null ? "of no id" : open.request().txn();
@@ -178,31 +186,31 @@
   public void readPending() {
     Turns.readPending(channel);
     if (!channel.isActive()) {
-      // The channel tells of its end on a later turn, which may be too late.
-      ended();
+      // The channel reports its close in a later event-loop iteration, which may be too late.
+      onEnd();
     }
   }
 
   /**
-   * Makes room for others. What a client has sent by now is read first; one whose request has begun
-   * to come is answered, and its connection ends behind that.
+   * Closes the connection to make room for others. Pending input is read first; if a request has
+   * begun, it is rejected before the close.
    */
-  void makeRoom() {
-    State seen = state;
+  void evict() {
+    State before = state;
     readPending();
-    if (state != seen || !channel.isActive()) {
+    if (state != before || !channel.isActive()) {
       return;
     }
     if (state == State.HEAD || state == State.READING) {
-      turnAway(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for a slow request");
+      reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for a slow request");
     } else {
-      closeUnasked();
+      closeFromThisSide();
     }
   }
 
   /**
-   * This process ends now: a request that is still coming is refused, and nothing is read as one
-   * any more. Reads first what its client has sent by now.
+   * Rejects an incomplete request, as this process ends, and accepts no further one. Reads pending
+   * input first.
    */
   void rejectIncompleteRequest() {
     readPending();
@@ -210,11 +218,11 @@
       return;
     }
     switch (state) {
-      case HEAD, READING -> turnAway(HttpResponseStatus.SERVICE_UNAVAILABLE, "closing");
+      case HEAD, READING -> reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "closing");
       case IDLE -> closeGracefully();
       default -> {
-        // Its answer is on its way, or it has had it; one that has not spoken yet is answered when
-        // it does.
+        // The response is being written or was written. A client that has sent nothing yet is
+        // rejected once it does.
       }
     }
   }
@@ -222,7 +230,7 @@
   private void enter(State next) {
     State before = state;
     state = next;
-    enteredAt = server.nowMs();
+    enteredAtMs = server.nowMs();
     server.stateChanged(this, before);
   }
 
@@ -232,31 +240,32 @@
       discard(message);
     } else if (state == State.IN_HAND) {
       ReferenceCountUtil.release(message);
-      sentAhead();
+      rejectPipelined();
     } else if (state == State.ANSWERING) {
-      ahead.add((HttpObject) message);
-      aheadBytes += size(message);
-      if (aheadBytes > MOST_AHEAD_BYTES) {
+      pipelined.add((HttpObject) message);
+      pipelinedBytes += size(message);
+      if (pipelinedBytes > MAX_PIPELINED_BYTES) {
         channel.config().setAutoRead(false);
       }
     } else {
-      take((HttpObject) message);
+      onMessage((HttpObject) message);
     }
   }
 
   private void discard(Object message) {
     lingerBytes += size(message);
     ReferenceCountUtil.release(message);
-    if (lingerBytes > (unfinished ? Body.MOST_BYTES : MOST_LINGER_BYTES)) {
+    if (lingerBytes > (awaitsRequestBody ? Body.MOST_BYTES : MAX_LINGER_BYTES)) {
       channel.config().setAutoRead(false);
     }
   }
 
   /**
-   * Clients send one request at a time. What comes before the answer is noise behind a body, a
-   * request hidden in it, or hundreds at once; none of it, nor what it came with, is served.
+   * Rejects input that follows a request before its response. Clients send one request at a time,
+   * so this is invalid bytes after a body, a smuggled request, or a flood of requests; neither the
+   * input nor the request before it is served.
    */
-  private void sentAhead() {
+  private void rejectPipelined() {
     keepAlive = false;
     if (exchange != null) {
       server.clientDisconnected(exchange);
@@ -268,10 +277,10 @@
   private static int size(Object message) {
     return message instanceof HttpContent content
         ? content.content().readableBytes()
-        : HEAD_BYTES_ASSUMED;
+        : ASSUMED_HEAD_BYTES;
   }
 
-  private void take(HttpObject message) {
+  private void onMessage(HttpObject message) {
     try {
       if (message.decoderResult().isFailure()) {
         throw new BadRequestException(HttpResponseStatus.BAD_REQUEST, "this is no HTTP/1.1");
@@ -280,73 +289,74 @@
         head(request);
       }
       if (message instanceof HttpContent content && state == State.READING) {
-        body(content);
+        onBody(content);
       }
     } catch (BadRequestException e) {
-      turnAway(e.status(), e.getMessage());
+      reject(e.status(), e.getMessage());
     } finally {
       ReferenceCountUtil.release(message);
     }
   }
 
-  /** Answers what was not taken on, and closes: nothing behind it can be trusted. */
-  void turnAway(HttpResponseStatus status, String why) {
+  /** Rejects a request that was not accepted and closes, as later input cannot be trusted. */
+  void reject(HttpResponseStatus status, String why) {
     keepAlive = false;
     dropExchange();
     answer(status, why, 0);
   }
 
-  /** The request did not become whole in time, or none came. */
+  /** Ends a connection whose request is not complete in time or on which none was received. */
   void expire() {
-    State seen = state;
+    State before = state;
     readPending();
-    if (state != seen || !channel.isActive()) {
+    if (state != before || !channel.isActive()) {
       return;
     }
     switch (state) {
       case HEAD, READING ->
-          turnAway(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not become whole");
+          reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not become whole");
       case IDLE -> closeGracefully();
-      // It never said anything, or has not taken what was written for it in good time.
+      // The client never sent anything or does not read its response.
       default -> close();
     }
   }
 
-  /** Whether a body comes so slowly, by all that has come and by the last of it, as to not end. */
+  /** Whether a body is too slow: no new bytes for too long, or too low a rate overall. */
   boolean isStalled(double now) {
-    if (countedFrom < enteredAt) {
-      countedFrom = enteredAt;
+    if (countedFromMs < enteredAtMs) {
+      countedFromMs = enteredAtMs;
       countedBytes = 0;
     }
     if (!channel.config().isAutoRead()) {
-      // It is this side that does not read on: counted anew from here.
-      countedFrom = now;
+      // Reading is paused by this side: measure from now on.
+      countedFromMs = now;
       countedBytes = bodyBytes;
-      heardAt = now;
+      lastBytesAtMs = now;
     }
-    double readingMs = now - countedFrom;
-    double least = (readingMs - ClientServer.READING_MS) * ClientServer.LEAST_BYTES_PER_MS;
-    return readingMs > ClientServer.READING_MS
-        && (now - heardAt > ClientServer.READING_MS || bodyBytes - countedBytes < least);
+    double readingMs = now - countedFromMs;
+    double minBytes = (readingMs - ClientServer.BODY_TIMEOUT_MS) * ClientServer.MIN_BYTES_PER_MS;
+    return readingMs > ClientServer.BODY_TIMEOUT_MS
+        && (now - lastBytesAtMs > ClientServer.BODY_TIMEOUT_MS
+            || bodyBytes - countedBytes < minBytes);
   }
 
-  /** Whether the client has not taken anything of its answer for so long, with some to take. */
-  boolean isUnread(double now, double forMs) {
-    long gone = writer == null ? 0 : writer.piecesGone();
-    if (gone != seenGone || (writer != null && !writer.awaitsPeer())) {
-      seenGone = gone;
-      seenGoneAt = now;
+  /** Whether the client has read nothing for this long although response bytes await it. */
+  boolean isUnread(double now, double limitMs) {
+    long pieces = writer == null ? 0 : writer.piecesGone();
+    if (pieces != piecesSeen || (writer != null && !writer.awaitsPeer())) {
+      piecesSeen = pieces;
+      lastProgressAtMs = now;
     }
-    return now - Math.max(seenGoneAt, enteredAt) > forMs;
+    return now - Math.max(lastProgressAtMs, enteredAtMs) > limitMs;
   }
 
   private void head(HttpRequest request) throws BadRequestException {
     version = request.protocolVersion();
     keepAlive = HttpUtil.isKeepAlive(request);
-    health = request.method().equals(HttpMethod.GET) && request.uri().equals("/healthz");
+    isHealthCheck = request.method().equals(HttpMethod.GET) && request.uri().equals("/healthz");
     enter(State.READING);
     bodyBytes = 0;
-    if (health) {
+    if (isHealthCheck) {
       RequestHead.checkLength(request, 0);
       return;
     }
@@ -357,35 +367,35 @@
     }
   }
 
-  private void body(HttpContent content) throws BadRequestException {
-    int more = content.content().readableBytes();
-    bodyBytes += more;
+  private void onBody(HttpContent content) throws BadRequestException {
+    int byteCount = content.content().readableBytes();
+    bodyBytes += byteCount;
     if (bodyBytes > Body.MOST_BYTES) {
       throw new BadRequestException(
           HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     }
-    if (passing != null) {
-      passOn(content);
+    if (remainder != null) {
+      stream(content);
       return;
     }
-    if (!health && more > 0) {
+    if (!isHealthCheck && byteCount > 0) {
       Body body = exchange.request().body();
       body.append(content.content());
-      boolean room = exchange.share().add(more);
+      boolean withinBudget = exchange.share().add(byteCount);
       boolean large =
           body.length() > Body.WHOLE_REQUEST_BYTES
               || (body.length() > Body.LEAST_PASSED_ON_BYTES && !server.hasRoomForBodies());
       if (large && !(content instanceof LastHttpContent)) {
-        passOnFrom(body);
+        startStreaming(body);
         return;
       }
-      if (!room) {
+      if (!withinBudget) {
         channel.config().setAutoRead(false);
       }
     }
     if (content instanceof LastHttpContent) {
       channel.config().setAutoRead(true);
-      if (health) {
+      if (isHealthCheck) {
         enter(State.IN_HAND);
         boolean ready = server.isReady();
         answer(
@@ -400,40 +410,40 @@
     }
   }
 
-  /** Hands over a request of which only the beginning is there; the rest goes on as it comes. */
-  private void passOnFrom(Body body) throws BadRequestException {
+  /** Hands over a request whose body is incomplete; the remainder is streamed as it arrives. */
+  private void startStreaming(Body body) throws BadRequestException {
     checkNotOpen();
-    Exchange handed = exchange;
-    passing =
+    Exchange handedOver = exchange;
+    remainder =
         new Inflow(
             new ReadingSource(channel) {
               @Override
               public void attached() {
                 body.letGoOfHeld();
-                handed.share().release();
+                handedOver.share().release();
               }
 
               @Override
               public void abandoned() {
-                // The answer is on its way; what still comes is read and dropped behind it.
+                // The response is being written; input after it is read and discarded.
                 channel.config().setAutoRead(true);
               }
             });
-    body.continueWith(passing, declaredBytes);
-    server.requestAccepted(handed);
+    body.continueWith(remainder, declaredBytes);
+    server.requestAccepted(handedOver);
   }
 
-  private void passOn(HttpContent content) {
-    Inflow to = passing;
-    to.offer(ByteBufUtil.getBytes(content.content()));
+  private void stream(HttpContent content) {
+    Inflow target = remainder;
+    target.offer(ByteBufUtil.getBytes(content.content()));
     if (content instanceof LastHttpContent) {
-      passing = null;
+      remainder = null;
       channel.config().setAutoRead(true);
-      Exchange whole = exchange;
+      Exchange complete = exchange;
       enter(State.IN_HAND);
-      // Before its host has it: the time of the request runs from here.
-      server.requestComplete(whole);
-      to.end();
+      // Before the host can have it all, as the time of the request runs from here.
+      server.requestComplete(complete);
+      target.end();
     }
   }
 
@@ -459,27 +469,28 @@
       return;
     }
     switch (answer.outcome()) {
-      case SERVED -> served(answer);
-      case REFUSED -> own(HttpResponseStatus.SERVICE_UNAVAILABLE, answer.retryAfterMs());
+      case SERVED -> respondFromHost(answer);
+      case REFUSED ->
+          respondWithStatus(HttpResponseStatus.SERVICE_UNAVAILABLE, answer.retryAfterMs());
       case FAILED ->
-          own(
+          respondWithStatus(
               answer.late() ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
               0);
     }
   }
 
-  /** Answers with a host's whole answer, unchanged. */
-  private void served(Answer answer) {
-    answerShare = answer.share();
+  /** Writes the response of a host unchanged. */
+  private void respondFromHost(Answer answer) {
+    responseShare = answer.share();
     Body body = answer.body();
-    boolean untold = body.wholeLength() == Body.UNKNOWN;
-    // A client of the old protocol knows no chunks: its answer ends with the connection.
-    keepAlive &= !untold || !version.equals(HttpVersion.HTTP_1_0);
+    boolean unknownLength = body.wholeLength() == Body.UNKNOWN;
+    // HTTP/1.0 has no chunked encoding: the end of the connection delimits the response.
+    keepAlive &= !unknownLength || !version.equals(HttpVersion.HTTP_1_0);
     write(head(HttpResponseStatus.OK, body).add(answer.metadata()), body);
   }
 
-  /** Answers in the gateway's own words. */
-  private void own(HttpResponseStatus status, double retryAfterMs) {
+  /** Writes a response of the gateway itself, with the reason phrase as its body. */
+  private void respondWithStatus(HttpResponseStatus status, double retryAfterMs) {
     answer(status, status.reasonPhrase(), retryAfterMs);
   }
 
@@ -497,19 +508,19 @@
   private void write(HeadWriter head, Body body) {
     answering = exchange;
     exchange = null;
-    passing = null;
+    remainder = null;
     enter(State.ANSWERING);
     boolean chunked = body.wholeLength() == Body.UNKNOWN && !version.equals(HttpVersion.HTTP_1_0);
-    writer = new BodyWriter(channel, body, chunked, this::answerWritten, this::close);
+    writer = new BodyWriter(channel, body, chunked, this::onResponseWritten, this::close);
     writer.start(head);
   }
 
-  /** The head of an answer, with what is said of this connection. */
+  /** Builds the head of a response with the headers of this connection. */
   private HeadWriter head(HttpResponseStatus status, Body body) {
     if (state == State.READING || state == State.HEAD) {
-      // The rest of the request may still come, and is none of the next.
+      // The remainder of the request may still arrive and must not be read as the next one.
       keepAlive = false;
-      unfinished = passing != null;
+      awaitsRequestBody = remainder != null;
     }
     keepAlive &= !server.isClosingAfterResponse();
     HeadWriter head = HeadWriter.answer(channel.alloc(), status);
@@ -533,64 +544,66 @@
     }
   }
 
-  private void answerWritten(Future<? super Void> written) {
+  private void onResponseWritten(Future<? super Void> written) {
     writer = null;
-    releaseAnswer();
-    answerLeft();
+    releaseResponse();
+    reportResponseWritten();
     if (!written.isSuccess()) {
       close();
     } else if (keepAlive) {
-      // On a later turn: answers to many requests sent ahead must not pile up on the stack.
-      channel.eventLoop().execute(this::next);
+      // In a later event-loop iteration, so that pipelined requests do not deepen the stack.
+      channel.eventLoop().execute(this::readNext);
     } else {
       closeGracefully();
     }
   }
 
-  private void next() {
+  private void readNext() {
     if (!channel.isActive()) {
       return;
     }
     enter(State.IDLE);
-    while (!ahead.isEmpty() && (state == State.IDLE || state == State.READING)) {
-      HttpObject message = ahead.poll();
-      aheadBytes -= size(message);
-      take(message);
+    while (!pipelined.isEmpty() && (state == State.IDLE || state == State.READING)) {
+      HttpObject message = pipelined.poll();
+      pipelinedBytes -= size(message);
+      onMessage(message);
     }
-    if (state == State.IN_HAND && !ahead.isEmpty()) {
-      sentAhead();
+    if (state == State.IN_HAND && !pipelined.isEmpty()) {
+      rejectPipelined();
     } else if (state == State.IDLE && server.isShuttingDown()) {
       expire();
-    } else if (aheadBytes <= MOST_AHEAD_BYTES) {
+    } else if (pipelinedBytes <= MAX_PIPELINED_BYTES) {
       channel.config().setAutoRead(true);
     }
   }
 
   /**
-   * Ends the own side and reads on for a moment: a close with unread input sends a reset, and that
-   * can destroy the answer on its way to the client.
+   * Shuts the output down and reads on for a while: a close with unread input sends a reset, which
+   * can destroy the response on its way to the client.
    */
   void closeGracefully() {
     keepAlive = false;
     enter(State.CLOSING);
-    dropAhead();
+    dropPipelined();
     channel.config().setAutoRead(true);
     ((DuplexChannel) channel).shutdownOutput();
     linger();
   }
 
   private void linger() {
-    lingerUntil = server.nowMs() + LINGER_MS;
+    lingerUntilMs = server.nowMs() + LINGER_MS;
     channel.eventLoop().schedule(this::endLinger, LINGER_MS, TimeUnit.MILLISECONDS);
   }
 
   private void endLinger() {
     double now = server.nowMs();
-    // A loop that stood still has heard nobody, and its client may have stood still with it.
-    boolean late = now - lingerUntil > LINGER_MS / 4.0;
-    boolean sendsOn =
-        unfinished && channel.config().isAutoRead() && (late || now - heardAt < LINGER_MS);
-    if (sendsOn && now - enteredAt < MOST_LINGER_MS) {
+    // A stalled loop has received nothing, and its client may have stalled at the same time.
+    boolean wasStalled = now - lingerUntilMs > LINGER_MS / 4.0;
+    boolean stillSending =
+        awaitsRequestBody
+            && channel.config().isAutoRead()
+            && (wasStalled || now - lastBytesAtMs < LINGER_MS);
+    if (stillSending && now - enteredAtMs < MAX_LINGER_MS) {
       linger();
     } else {
       close();
@@ -599,22 +612,22 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    boolean broken = cause instanceof IOException;
-    if (!broken) {
+    boolean connectionBroken = cause instanceof IOException;
+    if (!connectionBroken) {
       server.logFailure(cause);
     }
-    if (broken || !channel.isActive()) {
+    if (connectionBroken || !channel.isActive()) {
       close();
     } else if (state.isAwaitingResponse() && state != State.ANSWERING) {
-      failOwn();
+      failWithInternalError();
     } else {
-      // Where nothing is asked an answer would be taken for that to the next request.
-      closeUnasked();
+      // Without a pending request, a response would be taken for that to the next request.
+      closeFromThisSide();
     }
   }
 
-  /** A fault of this program: whoever asked is told, and nothing behind it is read. */
-  private void failOwn() {
+  /** Reports an error of this program to the client and reads no further requests. */
+  private void failWithInternalError() {
     keepAlive = false;
     if (state == State.IN_HAND && exchange != null) {
       server.clientDisconnected(exchange);
@@ -626,20 +639,20 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    ended();
+    onEnd();
   }
 
-  /** The connection has ended: nothing more is done for who was there. May be told twice. */
-  private void ended() {
+  /** Releases everything of a connection that has ended. May be called twice. */
+  private void onEnd() {
     server.connectionClosed(this);
     if (writer != null) {
-      BodyWriter unfinished = writer;
+      BodyWriter abandoned = writer;
       writer = null;
-      unfinished.abandon();
+      abandoned.abandon();
     }
-    releaseAnswer();
-    answerLeft();
-    dropAhead();
+    releaseResponse();
+    reportResponseWritten();
+    dropPipelined();
     if (state == State.IN_HAND && exchange != null) {
       server.clientDisconnected(exchange);
       exchange = null;
@@ -648,30 +661,30 @@
     state = State.CLOSING;
   }
 
-  private void releaseAnswer() {
-    if (answerShare != null) {
-      answerShare.release();
-      answerShare = null;
+  private void releaseResponse() {
+    if (responseShare != null) {
+      responseShare.release();
+      responseShare = null;
     }
   }
 
-  private void answerLeft() {
+  private void reportResponseWritten() {
     if (answering != null) {
-      Exchange left = answering;
+      Exchange answered = answering;
       answering = null;
-      server.responseWritten(left);
+      server.responseWritten(answered);
     }
   }
 
-  /** Forgets a request that was not taken on. */
+  /** Drops a request that is incomplete. */
   private void dropExchange() {
     if (exchange != null) {
       Exchange dropped = exchange;
       exchange = null;
-      if (passing != null) {
-        // It was handed over, but never became whole: it is owed no answer but this side's.
-        passing.fail();
-        passing = null;
+      if (remainder != null) {
+        // It was handed over but never completed: only this side responds to it.
+        remainder.fail();
+        remainder = null;
         server.clientDisconnected(dropped);
       } else {
         dropped.share().release();
@@ -679,9 +692,9 @@
     }
   }
 
-  private void dropAhead() {
-    ahead.forEach(ReferenceCountUtil::release);
-    ahead.clear();
-    aheadBytes = 0;
+  private void dropPipelined() {
+    pipelined.forEach(ReferenceCountUtil::release);
+    pipelined.clear();
+    pipelinedBytes = 0;
   }
 }
--- a/src/main/java/hazelspoke/front/http/ClientServer.java
+++ b/src/main/java/hazelspoke/front/http/ClientServer.java
@@ -34,47 +34,54 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Takes clients' connections in and keeps their number within the sockets there are. */
+/** Accepts client connections and keeps their number within the available sockets. */
 public final class ClientServer {
   private static final int BACKLOG = 4_096;
 
-  private static final long SWEEP_MS = 200;
+  private static final long EXPIRY_CHECK_INTERVAL_MS = 200;
 
-  /** A connection on which no request is open may be closed after this long. */
-  private static final double IDLE_MS = 2_000;
+  /** Idle timeout of a connection without an open request. */
+  private static final double IDLE_TIMEOUT_MS = 2_000;
 
-  /** While there is plenty of room one that was of use may rest longer: its client may return. */
-  private static final double IDLE_WITH_ROOM_MS = 10_000;
+  /**
+   * Idle timeout after a request while at most half of the connections are in use: the client may
+   * send another.
+   */
+  private static final double SPARE_IDLE_TIMEOUT_MS = 10_000;
 
-  /** A head may take 2 s; who has not ended it by now will not. */
-  private static final double HEAD_MS = 2_500;
+  /** Timeout of a request head; clients may take 2 s. */
+  private static final double HEAD_TIMEOUT_MS = 2_500;
 
-  /** A body of which nothing has come for so long will not become whole. */
-  static final double READING_MS = 2_000;
+  /** Timeout of a request body without new bytes. */
+  static final double BODY_TIMEOUT_MS = 2_000;
 
-  /** Nor one that goes on with less than this: a quarter of what slow clients send. */
-  static final double LEAST_BYTES_PER_MS = 16;
+  /** Minimum rate of a request body: a quarter of the rate of slow clients. */
+  static final double MIN_BYTES_PER_MS = 16;
 
-  /** A client that has taken nothing of its answer for this long does not want it. */
-  private static final double WRITING_MS = 3_000;
+  /** Timeout of a client that reads nothing of its response. */
+  private static final double UNREAD_TIMEOUT_MS = 3_000;
 
-  /** A new connection is given this long to say something before another may take its place. */
-  private static final double FRESH_MS = 10;
+  /** Time that a connection has in its state before it may be evicted for a new one. */
+  private static final double MIN_STATE_MS = 10;
 
   /**
-   * In a drain by operators who rests may use its connection for so long; with its answer it is
-   * told to go. Of a client that comes back meanwhile no request crosses a close.
+   * How long idle connections stay open in a drain by operators. A client that returns within this
+   * time gets a response with {@code Connection: close}, so that its request does not cross a
+   * close.
    */
-  private static final double DRAIN_REST_MS = 1_500;
+  private static final double DRAIN_IDLE_MS = 1_500;
 
-  /** In a leave: for a new client to speak, and for one that was told good-bye to go. */
-  private static final double LEAVE_MS = 250;
+  /**
+   * Time in a shutdown for a new client to send bytes, and for a client to close its connection
+   * after the last response.
+   */
+  private static final double SHUTDOWN_GRACE_MS = 250;
 
-  /** After a client could not be let in, until the next try. */
-  private static final long ACCEPT_AGAIN_MS = 10;
+  /** Delay of the next accept after a failed one. */
+  private static final long ACCEPT_RETRY_MS = 10;
 
-  /** One turn accepts up to this many before the limit is looked at. */
-  private static final int ACCEPTED_AT_ONCE = 16;
+  /** One event-loop iteration accepts up to this many connections before the limit is checked. */
+  private static final int MAX_ACCEPTS_PER_ITERATION = 16;
 
   private final EventLoop loop;
   private final Clock clock;
@@ -86,21 +93,21 @@
   private final Violations violations;
   private final int maxConnections;
 
-  /** All connections by what they are at, the longest so first. */
+  /** All connections by state, the longest in that state first. */
   private final Map<State, Set<ClientConnection>> byState = new EnumMap<>(State.class);
 
-  private int open;
-  private boolean makingRoom;
+  private int openCount;
+  private boolean evictionScheduled;
   private Channel listener;
   private boolean ready;
   private boolean shuttingDown;
   private boolean handedOver;
 
-  /** Whether whatever still comes is refused: this process ends. */
+  /** Whether every further request is rejected, as this process ends. */
   private boolean rejectingRequests;
 
-  /** When the drain by operators began; infinite when there is none. Any thread may set it. */
-  private volatile double drainingSince = Double.POSITIVE_INFINITY;
+  /** When the drain by operators began; infinite without one. Any thread may set it. */
+  private volatile double drainingSinceMs = Double.POSITIVE_INFINITY;
 
   public ClientServer(
       EventLoop loop,
@@ -120,19 +127,22 @@
     this.bodyBudget = bodyBudget;
     this.log = log;
     this.violations = violations;
-    this.maxConnections = Math.max(1, maxConnections - ACCEPTED_AT_ONCE);
+    this.maxConnections = Math.max(1, maxConnections - MAX_ACCEPTS_PER_ITERATION);
     for (State state : State.values()) {
       byState.put(state, new LinkedHashSet<>());
     }
-    // After reading: who has spoken while this process stood still is not taken for silent.
+    // After pending input was read, so that bytes received during a stall count.
     loop.scheduleWithFixedDelay(
-        () -> Turns.afterReading(loop, this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        () -> Turns.afterReading(loop, this::closeExpired),
+        EXPIRY_CHECK_INTERVAL_MS,
+        EXPIRY_CHECK_INTERVAL_MS,
+        TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Begins to listen.
+   * Starts to listen.
    *
-   * @param shared whether other processes may listen at the same address meanwhile
+   * @param shared whether other processes may listen at the same address at the same time
    */
   public ChannelFuture listen(Transport transport, InetSocketAddress address, boolean shared) {
     ServerBootstrap bootstrap =
@@ -168,121 +178,123 @@
             new StrictRequestDecoder(HttpLimits.decoderConfig()),
             connection);
     byState.get(connection.state()).add(connection);
-    open++;
-    if (open >= maxConnections && !makingRoom) {
+    openCount++;
+    if (openCount >= maxConnections && !evictionScheduled) {
       listener.config().setAutoRead(false);
-      makeRoomAfter(0);
+      scheduleEviction(0);
     }
   }
 
   /**
-   * Accepting may fail for a moment, as a client leaves or descriptors run out. Netty's own handler
-   * would let nobody in for a second then, which is longer than many requests have.
+   * Handles failures to accept, which may pass soon: a client disconnected, or descriptors ran out.
+   * Netty's own handler would stop accepting for 1 s, which exceeds the deadline of many requests.
    */
   private final class AcceptFailures extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       log.failure("a client could not be let in", cause);
       ctx.channel().config().setAutoRead(false);
-      if (!makingRoom) {
-        makeRoomAfter(ACCEPT_AGAIN_MS);
+      if (!evictionScheduled) {
+        scheduleEviction(ACCEPT_RETRY_MS);
       }
     }
   }
 
-  private void makeRoomAfter(long delayMs) {
-    makingRoom = true;
-    loop.schedule(() -> Turns.afterReading(loop, this::makeRoom), delayMs, TimeUnit.MILLISECONDS);
+  private void scheduleEviction(long delayMs) {
+    evictionScheduled = true;
+    loop.schedule(
+        () -> Turns.afterReading(loop, this::evictConnections), delayMs, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * At the limit the least useful connection makes room: one that was told good-bye, one that never
-   * said anything, one that rests, one that does not get on. This meets floods of any such kind.
-   * All that has come in is read first, so that no new client with a request is taken for a silent
-   * one. With nothing to spare, new connections wait in the kernel.
+   * Closes the least useful connection at the limit: one past its last response, one that never
+   * sent anything, one with an incomplete head, an idle one, or one with an incomplete body, in
+   * this order. This limits floods of any such kind. Pending input is read first, so that a new
+   * client that has sent a request does not count as unused. If none can be closed, new connections
+   * wait in the kernel.
    */
-  private void makeRoom() {
-    makingRoom = false;
+  private void evictConnections() {
+    evictionScheduled = false;
     double now = clock.nowMs();
-    while (open >= maxConnections) {
-      ClientConnection victim = victim(now);
+    while (openCount >= maxConnections) {
+      ClientConnection victim = selectVictim(now);
       if (victim == null) {
-        makeRoomAfter((long) FRESH_MS);
+        scheduleEviction((long) MIN_STATE_MS);
         return;
       }
-      victim.makeRoom();
+      victim.evict();
     }
     listener.config().setAutoRead(true);
   }
 
-  private ClientConnection victim(double now) {
+  private ClientConnection selectVictim(double now) {
     for (State state : List.of(State.CLOSING, State.FRESH, State.HEAD, State.IDLE, State.READING)) {
       Set<ClientConnection> candidates = byState.get(state);
       if (!candidates.isEmpty()) {
         ClientConnection longest = candidates.iterator().next();
-        if (now - longest.enteredAt() >= FRESH_MS) {
+        if (now - longest.enteredAtMs() >= MIN_STATE_MS) {
           return longest;
         }
-        // The new ones will speak or make room in a moment, and who was answered has read it by
-        // then: no resting one need leave for them.
+        // Within that time, new connections send bytes or may be evicted, and answered clients
+        // have read their response: no idle connection needs to be closed for them.
         return null;
       }
     }
     return null;
   }
 
-  public void stateChanged(ClientConnection connection, State before) {
-    if (byState.get(before).remove(connection)) {
+  public void stateChanged(ClientConnection connection, State previous) {
+    if (byState.get(previous).remove(connection)) {
       byState.get(connection.state()).add(connection);
     }
   }
 
   public void connectionClosed(ClientConnection connection) {
     if (byState.get(connection.state()).remove(connection)) {
-      open--;
+      openCount--;
     }
   }
 
-  private void sweep() {
-    boolean go = clock.nowMs() - drainingSince >= DRAIN_REST_MS;
-    double restMs = open > maxConnections / 2 ? IDLE_MS : IDLE_WITH_ROOM_MS;
-    expire(State.FRESH, go ? DRAIN_REST_MS : IDLE_MS);
-    expire(State.IDLE, go ? 0 : restMs);
-    expire(State.HEAD, HEAD_MS);
+  private void closeExpired() {
+    boolean closesIdle = clock.nowMs() - drainingSinceMs >= DRAIN_IDLE_MS;
+    double idleTimeoutMs = openCount > maxConnections / 2 ? IDLE_TIMEOUT_MS : SPARE_IDLE_TIMEOUT_MS;
+    closeOlderThan(State.FRESH, closesIdle ? DRAIN_IDLE_MS : IDLE_TIMEOUT_MS);
+    closeOlderThan(State.IDLE, closesIdle ? 0 : idleTimeoutMs);
+    closeOlderThan(State.HEAD, HEAD_TIMEOUT_MS);
     double now = clock.nowMs();
-    for (ClientConnection c : List.copyOf(byState.get(State.READING))) {
-      if (c.isStalled(now)) {
-        c.expire();
+    for (ClientConnection connection : List.copyOf(byState.get(State.READING))) {
+      if (connection.isStalled(now)) {
+        connection.expire();
       }
     }
-    for (ClientConnection c : List.copyOf(byState.get(State.ANSWERING))) {
-      if (c.isUnread(now, WRITING_MS)) {
-        c.expire();
+    for (ClientConnection connection : List.copyOf(byState.get(State.ANSWERING))) {
+      if (connection.isUnread(now, UNREAD_TIMEOUT_MS)) {
+        connection.expire();
       }
     }
   }
 
-  private void expire(State state, double afterMs) {
-    double before = clock.nowMs() - afterMs;
-    for (ClientConnection c : List.copyOf(byState.get(state))) {
-      if (c.enteredAt() > before) {
+  private void closeOlderThan(State state, double afterMs) {
+    double enteredBeforeMs = clock.nowMs() - afterMs;
+    for (ClientConnection connection : List.copyOf(byState.get(state))) {
+      if (connection.enteredAtMs() > enteredBeforeMs) {
         return;
       }
-      c.expire();
+      connection.expire();
     }
   }
 
-  /** Counts what must never happen. */
+  /** Counts and logs a violation of the gateway's guarantees. */
   void reportViolation(Violations.Kind kind, String request) {
     violations.count(kind, request);
   }
 
-  /** Notes an error of this program's own. */
+  /** Logs an unexpected exception of this program. */
   void logFailure(Throwable cause) {
     log.failure("a connection of a client's", cause);
   }
 
-  /** What may be asked for from now on. */
+  /** Replaces the classes of requests that clients may use. */
   public void reload(ClassBook next) {
     classes = next;
   }
@@ -295,7 +307,7 @@
     return ready && !isDraining();
   }
 
-  /** Whether clients are told with each answer to go elsewhere. */
+  /** Whether every response closes its connection, so that clients move to another gateway. */
   public boolean isClosingAfterResponse() {
     return shuttingDown || handedOver || isDraining();
   }
@@ -305,17 +317,17 @@
   }
 
   private boolean isDraining() {
-    return drainingSince < Double.POSITIVE_INFINITY;
+    return drainingSinceMs < Double.POSITIVE_INFINITY;
   }
 
   /**
-   * Begins or ends a drain by operators: the gateway says that it is unready, every answer is its
-   * connection's last, and after a while what rests is closed. In force at once; any thread may
-   * call it.
+   * Begins or ends a drain by operators: the gateway reports that it is unready, every response
+   * closes its connection, and idle connections are closed after {@link #DRAIN_IDLE_MS}. Takes
+   * effect at once; any thread may call it.
    */
   public void setDraining(boolean on) {
     if (on != isDraining()) {
-      drainingSince = on ? clock.nowMs() : Double.POSITIVE_INFINITY;
+      drainingSinceMs = on ? clock.nowMs() : Double.POSITIVE_INFINITY;
     }
   }
 
@@ -324,12 +336,12 @@
     return new Exchange(head, client, bodyBudget.share(client::resumeReading));
   }
 
-  /** Whether bodies may be held until they are whole, up to the larger of the bounds. */
+  /** Whether bodies up to the larger limit may be buffered until they are complete. */
   boolean hasRoomForBodies() {
     return bodyBudget.isRoomy();
   }
 
-  /** Whether another request with the same id is open; that one goes on. */
+  /** Whether another request with the same id is open; it is not affected. */
   public boolean isOpen(Exchange exchange) {
     return intake.isOpen(exchange.request().txn());
   }
@@ -346,22 +358,24 @@
     intake.onClientGone(exchange);
   }
 
-  /** The answer to a request that was taken has left, or its connection has ended before that. */
+  /** Called when the response to an accepted request was written or its connection ended before. */
   void responseWritten(Exchange exchange) {
     intake.onAnswerLeft(exchange);
   }
 
   /**
-   * The gateway is unready, and goes on serving: who has a connection may use it to the end, as the
-   * others may be busy or away themselves. At the end all come to the others at once.
+   * Marks the gateway as unready while it still serves: open connections may be used until the end,
+   * as the other gateways may be busy or down. At the end all their clients move to the others at
+   * once.
    */
   public void markUnready() {
     ready = false;
   }
 
   /**
-   * Another process takes what comes to this address from now on. This one goes on saying that it
-   * is ready, as the gateway is, and sends clients over with the answers that they get.
+   * Leaves new connections at this address to another process. This process still reports that it
+   * is ready, as the gateway is, and every response closes its connection, so that clients
+   * reconnect to the other one.
    */
   public void handOver() {
     handedOver = true;
@@ -369,9 +383,9 @@
   }
 
   /**
-   * Nothing new comes any more; what rests may go, and every answer is its connection's last. Who
-   * waits in the kernel was accepted by this machine: all of them are taken in first, as far as
-   * there is room, and the rest as others leave.
+   * Stops listening, closes idle connections, and makes every response close its connection.
+   * Connections in the accept queue were already established by the kernel: all of them are
+   * accepted first, as far as the limit allows, and the others once connections close.
    */
   public void stopListening() {
     shuttingDown = true;
@@ -379,21 +393,21 @@
     closeListener();
   }
 
-  /** Closes it with nobody left waiting; whether it is closed. */
+  /** Closes the listener once its accept queue is empty; returns whether it is closed. */
   private boolean closeListener() {
     if (!listener.isOpen()) {
       return true;
     }
-    if (listener instanceof Listener own) {
-      return own.closeEmpty(maxConnections - open);
+    if (listener instanceof Listener closeableListener) {
+      return closeableListener.closeEmpty(maxConnections - openCount);
     }
     listener.close();
     return true;
   }
 
   /**
-   * This process ends: whoever's request is still coming is refused at once, also on connections
-   * that come from now on. What had come whole has to be answered before this.
+   * Rejects all incomplete requests as this process ends, also on connections accepted later.
+   * Complete requests have to be answered before this call.
    */
   public void rejectIncompleteRequests() {
     closeListener();
@@ -403,12 +417,12 @@
     }
   }
 
-  /** Whether no request is taken any more, however late it comes. */
+  /** Whether every further request is rejected. */
   boolean isRejectingRequests() {
     return rejectingRequests;
   }
 
-  /** Counts whoever has no answer as this process ends; nobody has any more time then. */
+  /** Reports each request without a response as a violation when this process exits. */
   public void reportUnansweredAtExit() {
     for (Set<ClientConnection> connections : byState.values()) {
       for (ClientConnection connection : connections) {
@@ -420,19 +434,21 @@
   }
 
   /**
-   * Whether nothing is owed to anybody any more: asked again and again in a leave, each time after
-   * the sockets were read. Who is new has a moment to say something, and who was told good-bye one
-   * to go: an end on what a client still sends would reset the answer on its way to it.
+   * Whether no client has a pending response; polled during a shutdown, each time after pending
+   * input was read. New clients have {@link #SHUTDOWN_GRACE_MS} to send bytes, and clients past
+   * their last response as long to close: a close with unread input would reset the response on its
+   * way to the client.
    */
   public boolean hasNoPendingClients() {
-    expire(State.FRESH, LEAVE_MS);
-    double before = clock.nowMs() - LEAVE_MS;
+    closeOlderThan(State.FRESH, SHUTDOWN_GRACE_MS);
+    double enteredBeforeMs = clock.nowMs() - SHUTDOWN_GRACE_MS;
     return closeListener()
         && byState.entrySet().stream()
             .allMatch(
-                of ->
-                    of.getKey() == State.CLOSING
-                        ? of.getValue().stream().allMatch(c -> c.enteredAt() <= before)
-                        : of.getValue().isEmpty());
+                entry ->
+                    entry.getKey() == State.CLOSING
+                        ? entry.getValue().stream()
+                            .allMatch(connection -> connection.enteredAtMs() <= enteredBeforeMs)
+                        : entry.getValue().isEmpty());
   }
 }
--- a/src/main/java/hazelspoke/front/http/FirstBytesHandler.java
+++ b/src/main/java/hazelspoke/front/http/FirstBytesHandler.java
@@ -3,7 +3,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Tells a connection that bytes have come before they are decoded: a head may take its time. */
+/** Notifies a connection of received bytes before they are decoded, as a head may arrive slowly. */
 final class FirstBytesHandler extends ChannelInboundHandlerAdapter {
   private final ClientConnection connection;
 
--- a/src/main/java/hazelspoke/front/http/RequestHead.java
+++ b/src/main/java/hazelspoke/front/http/RequestHead.java
@@ -21,23 +21,23 @@
 import ternscale.api.Settings.Effect;
 
 /**
- * What the head of a client's request says, read strictly: whatever does not follow the protocol is
- * turned away here, so that no host ever sees it. It also catches what nobody has sent yet, such as
- * doubled headers or paths that point elsewhere; it does harm where clients start to use a new form
- * before this page knows it. The headers are gone through once and no pattern is matched, as every
- * request passes here.
+ * Parses the head of a client's request strictly: requests that violate the protocol are rejected
+ * here and reach no host. This covers forms that no client sends today, such as repeated headers or
+ * paths that do not match the class; a new form that clients start to use is rejected until it is
+ * added here. Iterates over the headers once and uses no regular expressions, as every request
+ * passes through.
  */
 final class RequestHead {
   private static final double MS_PER_SECOND = 1_000;
   private static final double US_PER_MS = 1_000;
 
-  private static final int LONGEST_ID = 128;
-  private static final int MOST_DIGITS = 12;
-  private static final int MOST_DECIMALS = 18;
+  private static final int MAX_ID_LENGTH = 128;
+  private static final int MAX_DIGITS = 12;
+  private static final int MAX_DECIMALS = 18;
 
   private final HttpRequest request;
   private final Metadata metadata = new Metadata();
-  private final Set<String> listed;
+  private final Set<String> connectionHeaders;
   private String txn;
   private String className;
   private String tenant;
@@ -49,102 +49,103 @@
 
   private RequestHead(HttpRequest request) {
     this.request = request;
-    listed = Headers.listedInConnection(request.headers());
+    connectionHeaders = Headers.listedInConnection(request.headers());
   }
 
-  /** Reads a head; {@code classes} tell what may be asked for now and in which form. */
-  static Request read(HttpRequest request, Names names, ClassBook classes, double now)
+  /** Parses a head; {@code classes} are the classes that may be requested now. */
+  static Request read(HttpRequest request, Names names, ClassBook classes, double nowMs)
       throws BadRequestException {
     if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)
         && !request.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-      throw bad(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "this is no HTTP/1.1");
+      throw badRequest(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "this is no HTTP/1.1");
     }
     RequestHead head = new RequestHead(request);
     Iterator<Map.Entry<CharSequence, CharSequence>> headers =
         request.headers().iteratorCharSequence();
     while (headers.hasNext()) {
       Map.Entry<CharSequence, CharSequence> header = headers.next();
-      head.take(header.getKey(), header.getValue());
+      head.readHeader(header.getKey(), header.getValue());
     }
-    return head.toRequest(names, classes, now);
+    return head.toRequest(names, classes, nowMs);
   }
 
-  /** Takes a header in. Those that mean one thing each would, doubled, be read in two ways. */
-  private void take(CharSequence name, CharSequence value) throws BadRequestException {
+  /** Reads one header. Those with a single meaning may not be repeated, as that is ambiguous. */
+  private void readHeader(CharSequence name, CharSequence value) throws BadRequestException {
     switch (name.length()) {
       case 5 -> {
         if (Headers.is(name, Headers.TXN)) {
-          txn = only(Headers.TXN, txn, value);
+          txn = requireSingle(Headers.TXN, txn, value);
         } else if (Headers.is(name, Headers.TENANT)) {
-          tenant = only(Headers.TENANT, tenant, value);
+          tenant = requireSingle(Headers.TENANT, tenant, value);
         }
       }
       case 6 -> {
         if (Headers.is(name, Headers.CLASS)) {
-          className = only(Headers.CLASS, className, value);
+          className = requireSingle(Headers.CLASS, className, value);
         }
       }
       case 8 -> {
         if (Headers.is(name, Headers.KEY)) {
-          entity = only(Headers.KEY, entity, value);
+          entity = requireSingle(Headers.KEY, entity, value);
         } else if (Headers.is(name, Headers.RESENT) && resent == null) {
           resent = value.toString();
         }
       }
       case 10 -> {
         if (Headers.is(name, Headers.COST_HINT)) {
-          costHint = only(Headers.COST_HINT, costHint, value);
+          costHint = requireSingle(Headers.COST_HINT, costHint, value);
         }
       }
       case 11 -> {
         if (Headers.is(name, Headers.REMAINING)) {
-          remaining = only(Headers.REMAINING, remaining, value);
+          remaining = requireSingle(Headers.REMAINING, remaining, value);
         }
       }
       case 15 -> {
         if (Headers.is(name, Headers.IDEMPOTENCY_KEY)) {
-          idempotencyKey = only(Headers.IDEMPOTENCY_KEY, idempotencyKey, value);
+          idempotencyKey = requireSingle(Headers.IDEMPOTENCY_KEY, idempotencyKey, value);
         }
       }
       default -> {
-        // Not one that is read here.
+        // Not a header that is interpreted here.
       }
     }
-    if (Headers.isEndToEnd(name, listed)) {
+    if (Headers.isEndToEnd(name, connectionHeaders)) {
       metadata.add(name, value);
     }
   }
 
-  private String only(AsciiString name, String before, CharSequence value)
+  private String requireSingle(AsciiString name, String previous, CharSequence value)
       throws BadRequestException {
-    if (before != null) {
-      throw bad(HttpResponseStatus.BAD_REQUEST, name + " is given twice");
+    if (previous != null) {
+      throw badRequest(HttpResponseStatus.BAD_REQUEST, name + " is given twice");
     }
-    if (Headers.isListed(name, listed)) {
-      throw bad(HttpResponseStatus.BAD_REQUEST, name + " is not for one connection only");
+    if (Headers.isListed(name, connectionHeaders)) {
+      throw badRequest(HttpResponseStatus.BAD_REQUEST, name + " is not for one connection only");
     }
     return value.toString();
   }
 
-  private Request toRequest(Names names, ClassBook classes, double now) throws BadRequestException {
-    int requestClass = className == null ? -1 : classes.find(className, form(), now);
+  private Request toRequest(Names names, ClassBook classes, double nowMs)
+      throws BadRequestException {
+    int requestClass = className == null ? -1 : classes.find(className, requestedEffect(), nowMs);
     if (requestClass < 0) {
-      throw bad(HttpResponseStatus.NOT_FOUND, Headers.CLASS + " names no class");
+      throw badRequest(HttpResponseStatus.NOT_FOUND, Headers.CLASS + " names no class");
     }
     Settings.RequestClass type = classes.type(requestClass);
     checkPath(request.uri(), className);
-    checkMethod(type.effect());
-    if (txn == null || !isVisible(txn, 0, LONGEST_ID)) {
-      throw bad(HttpResponseStatus.BAD_REQUEST, Headers.TXN + " is no id");
+    checkEffect(type.effect());
+    if (txn == null || !isVisible(txn, 0, MAX_ID_LENGTH)) {
+      throw badRequest(HttpResponseStatus.BAD_REQUEST, Headers.TXN + " is no id");
     }
     double limitMs = type.deadlineMs();
-    double seconds = number(Headers.REMAINING, remaining, limitMs / MS_PER_SECOND);
+    double remainingSeconds = number(Headers.REMAINING, remaining, limitMs / MS_PER_SECOND);
     return new Request(
         txn,
         requestClass,
         type.effect(),
         names.tenant(tenant),
-        Math.min(limitMs, MS_PER_SECOND * seconds),
+        Math.min(limitMs, MS_PER_SECOND * remainingSeconds),
         number(Headers.COST_HINT, costHint, 0) / US_PER_MS,
         entity,
         "1".equals(resent),
@@ -153,8 +154,8 @@
         new Body());
   }
 
-  /** What the method and the key say that a second run would do. */
-  private Effect form() {
+  /** Returns the effect of a second run that the method and the idempotency key imply. */
+  private Effect requestedEffect() {
     if (request.method().equals(HttpMethod.GET)) {
       return Effect.REPEATABLE;
     }
@@ -163,61 +164,65 @@
 
   private static void checkPath(String uri, String className) throws BadRequestException {
     int end = 1 + className.length();
-    boolean named =
+    boolean matchesClass =
         uri.startsWith("/")
             && uri.startsWith(className, 1)
             && (uri.length() == end || "/?".indexOf(uri.charAt(end)) >= 0);
-    if (!named || !isVisible(uri, 1, Integer.MAX_VALUE)) {
-      throw bad(HttpResponseStatus.NOT_FOUND, "the path does not begin with the class");
+    if (!matchesClass || !isVisible(uri, 1, Integer.MAX_VALUE)) {
+      throw badRequest(HttpResponseStatus.NOT_FOUND, "the path does not begin with the class");
     }
   }
 
-  private void checkMethod(Effect effect) throws BadRequestException {
+  private void checkEffect(Effect effect) throws BadRequestException {
     HttpMethod method = effect == Effect.REPEATABLE ? HttpMethod.GET : HttpMethod.POST;
     if (!request.method().equals(method)) {
-      throw bad(HttpResponseStatus.METHOD_NOT_ALLOWED, "the class is asked for by " + method);
+      throw badRequest(
+          HttpResponseStatus.METHOD_NOT_ALLOWED, "the class is asked for by " + method);
     }
     boolean fits =
         effect == Effect.BY_KEY
-            ? idempotencyKey != null && isVisible(idempotencyKey, 0, LONGEST_ID)
+            ? idempotencyKey != null && isVisible(idempotencyKey, 0, MAX_ID_LENGTH)
             : idempotencyKey == null;
     if (!fits) {
-      throw bad(
+      throw badRequest(
           HttpResponseStatus.BAD_REQUEST, Headers.IDEMPOTENCY_KEY + " does not fit the class");
     }
     checkLength(request, effect == Effect.REPEATABLE ? 0 : Body.MOST_BYTES);
   }
 
-  /** Refuses a body that is too long by its head alone. */
-  static void checkLength(HttpRequest request, long mostBytes) throws BadRequestException {
+  /** Rejects a request whose head announces a body that is too large. */
+  static void checkLength(HttpRequest request, long maxBytes) throws BadRequestException {
     HttpHeaders headers = request.headers();
-    if (HttpUtil.getContentLength(request, 0L) > mostBytes
-        || (mostBytes == 0 && headers.contains(HttpHeaderNames.TRANSFER_ENCODING))) {
-      throw bad(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+    if (HttpUtil.getContentLength(request, 0L) > maxBytes
+        || (maxBytes == 0 && headers.contains(HttpHeaderNames.TRANSFER_ENCODING))) {
+      throw badRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     }
   }
 
-  private static double number(AsciiString name, String text, double absent)
+  private static double number(AsciiString name, String text, double defaultValue)
       throws BadRequestException {
     if (text == null) {
-      return absent;
+      return defaultValue;
     }
     if (!isDecimal(text)) {
-      throw bad(HttpResponseStatus.BAD_REQUEST, name + " is no such number");
+      throw badRequest(HttpResponseStatus.BAD_REQUEST, name + " is no such number");
     }
     return Double.parseDouble(text);
   }
 
-  /** Plain decimals only: what Java reads as a number besides (NaN, 1e9, 0x1p3) is no figure. */
+  /**
+   * Whether the text is a plain decimal number, unlike other forms that Java parses: NaN, 1e9,
+   * 0x1p3.
+   */
   static boolean isDecimal(String text) {
     int point = text.indexOf('.');
-    int whole = point < 0 ? text.length() : point;
+    int integerDigits = point < 0 ? text.length() : point;
     int decimals = point < 0 ? 0 : text.length() - point - 1;
-    return whole >= 1
-        && whole <= MOST_DIGITS
-        && (point < 0 || (decimals >= 1 && decimals <= MOST_DECIMALS))
-        && areDigits(text, 0, whole)
-        && areDigits(text, whole + 1, text.length());
+    return integerDigits >= 1
+        && integerDigits <= MAX_DIGITS
+        && (point < 0 || (decimals >= 1 && decimals <= MAX_DECIMALS))
+        && areDigits(text, 0, integerDigits)
+        && areDigits(text, integerDigits + 1, text.length());
   }
 
   private static boolean areDigits(String text, int from, int to) {
@@ -229,10 +234,13 @@
     return true;
   }
 
-  /** Whether it is 1 to {@code most} characters from {@code from} on, none of them a blank. */
-  private static boolean isVisible(String text, int from, int most) {
+  /**
+   * Whether the text has 1 to {@code maxLength} characters, all of them visible ASCII from index
+   * {@code from} on.
+   */
+  private static boolean isVisible(String text, int from, int maxLength) {
     int length = text.length();
-    if (length == 0 || length > most) {
+    if (length == 0 || length > maxLength) {
       return false;
     }
     for (int i = from; i < length; i++) {
@@ -243,7 +251,7 @@
     return true;
   }
 
-  private static BadRequestException bad(HttpResponseStatus status, String what) {
-    return new BadRequestException(status, what);
+  private static BadRequestException badRequest(HttpResponseStatus status, String message) {
+    return new BadRequestException(status, message);
   }
 }
--- a/src/main/java/hazelspoke/front/http/StrictRequestDecoder.java
+++ b/src/main/java/hazelspoke/front/http/StrictRequestDecoder.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Takes no request whose length is given in two ways: one reader would go by the one and the next
- * by the other, and what lies between may be a request of its own.
+ * Rejects requests with both Content-Length and Transfer-Encoding. If the gateway used one and a
+ * host the other, the bytes between the two ends could be a smuggled request.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
   StrictRequestDecoder(HttpDecoderConfig config) {
