--- a/src/main/java/hazelspoke/discovery/DiscoveryClient.java
+++ b/src/main/java/hazelspoke/discovery/DiscoveryClient.java
@@ -41,52 +41,61 @@
 import ternscale.adapter.WireException;
 
 /**
- * The calls to discovery: a watch, and polls. When to call is the module's to say; only a pushed
- * list, which nobody asks for, is kept up from here. It is followed until the process ends: as long
- * as anything may be sent, also in a leave, what is told has to be known.
+ * Calls discovery, by watches and polls. The balancer decides when to call, except for a pushed
+ * list, whose watch this class maintains itself. The list is followed until the process ends:
+ * requests may be sent during a shutdown too, and they need the current list.
  *
- * <p>An agent that pushes lists answers at once and at no cost, and what it has counts as told
- * whether or not a watch is open; but it may fall silent, and begin to speak again at any moment.
- * So a watch that says nothing is not given up: others are opened beside it, again and again, and
- * the first that speaks takes its place.
+ * <p>An agent that pushes lists responds at once and at no cost, and the gateway is expected to
+ * know its list whether or not a watch is open. But the agent may become unresponsive and recover
+ * at any moment. So an unresponsive watch stays open while further watches are opened in parallel,
+ * again and again, and the first of them to receive data replaces it.
  *
- * <p>Where discovery is asked, it works through calls in turn and answers one within 2 s or turns
- * it away. A watch that has said nothing for nearly as long is hedged in the same way, by one more
- * beside it, so that a connection that leads nowhere costs no more than that. How the times add up
- * to the terms of the pages is reckoned in docs/design/endings.md.
+ * <p>Discovery on request handles calls one after the other, and answers or rejects each within 2
+ * s. A watch that has received nothing for nearly as long is hedged in the same way by one more
+ * watch, which bounds the cost of a dead connection. docs/design/endings.md shows how these times
+ * add up to the required limits.
  */
 public final class DiscoveryClient implements Discovery {
-  /** An empty line comes every 2 s; a watch silent for longer than this is broken. */
-  private static final double WATCH_SILENCE_MS = 2_500;
+  /**
+   * Discovery sends an empty line every 2 s; a watch without data for longer than this is broken.
+   */
+  private static final double WATCH_TIMEOUT_MS = 2_500;
 
-  /** A poll waits its turn; one that has not begun to answer by then will not. */
-  private static final double FIRST_BYTES_MS = 3_000;
+  /** Limit for the first bytes of a poll's response, including its wait in discovery's queue. */
+  private static final double FIRST_BYTES_TIMEOUT_MS = 3_000;
 
   /**
-   * A watch waits its turn for 2 s at most. What has not spoken by then is joined by another, which
-   * still is answered within the 4 s after SIGHUP; calls that are answered later than this are few.
+   * A watch waits in discovery's queue for at most 2 s. A watch without data after this delay is
+   * hedged by a second one, which is still answered within the 4 s allowed after SIGHUP; few calls
+   * are answered later than this delay.
    */
-  private static final double HEDGE_MS = 1_700;
+  private static final double HEDGE_DELAY_MS = 1_700;
 
   private static final int CONNECT_TIMEOUT_MS = 1_000;
-  private static final long CHECK_EVERY_MS = 100;
+  private static final long CHECK_INTERVAL_MS = 100;
 
-  /** Of a pushed list: silence beyond the empty lines, after which others are opened beside it. */
-  private static final double PUSHED_SILENCE_MS = 2_200;
+  /**
+   * A watch of a pushed list without data for this long, longer than the interval of the empty
+   * lines, is hedged by further watches.
+   */
+  private static final double PUSHED_TIMEOUT_MS = 2_200;
 
-  /** So often, well within the shortest grace; and so many wait for their first word at once. */
-  private static final double PUSHED_AGAIN_MS = 200;
+  /**
+   * Interval at which further watches of a pushed list are opened, well within the shortest grace.
+   */
+  private static final double PUSHED_RETRY_INTERVAL_MS = 200;
 
-  private static final int MOST_TRIED_PUSHED = 4;
+  /** Limit of open watches of a pushed list that have received no data yet. */
+  private static final int MAX_PENDING_PUSHED = 4;
 
-  /** As many where discovery is asked, which has to work through each. */
-  private static final int MOST_TRIED_ASKED = 2;
+  /** The same limit for discovery on request, which has to process each call. */
+  private static final int MAX_PENDING_ON_REQUEST = 2;
 
   /**
    * What is known before the first call.
    *
-   * @param pushed whether the list is told unasked, so that the watch is held from here
-   * @param version of the list that the gateway has
+   * @param pushed whether discovery pushes its list, so that this client maintains the watch itself
+   * @param version the version of the list that the gateway has
    */
   public record InitialState(
       InetSocketAddress address, boolean pushed, Names names, long version) {}
@@ -105,18 +114,26 @@
   private final Set<Call> calls = new HashSet<>();
   private Call watch;
 
-  /** Watches that have not said anything yet; of a pushed list, beside one that fell silent. */
-  private final Deque<Call> tried = new ArrayDeque<>();
+  /**
+   * Watches without data so far, the oldest first; for a pushed list possibly in parallel to {@link
+   * #watch}.
+   */
+  private final Deque<Call> pendingWatches = new ArrayDeque<>();
 
-  private double triedAt = Double.NEGATIVE_INFINITY;
+  private double lastWatchOpenedAtMs = Double.NEGATIVE_INFINITY;
 
-  /** The latest begin of the next watch after one that failed; null when none did. */
-  private ScheduledFuture<?> nextTry;
+  /** Timer that opens the next watch after a failure if the balancer has not; null without one. */
+  private ScheduledFuture<?> nextWatch;
 
-  /** Whether the next failure of a watch is answered from here, at once. */
-  private boolean justMoved;
+  /** Whether the next failure of a watch is followed by another watch at once. */
+  private boolean retryImmediately;
 
-  /** One that tells whoever asks it to of news, and of failures and whether they were silence. */
+  /**
+   * Creates a client.
+   *
+   * @param onUpdate receives changes of the list
+   * @param onFailed receives failures; true means that discovery was unresponsive
+   */
   public DiscoveryClient(
       EventLoop loop,
       Transport transport,
@@ -144,63 +161,63 @@
     this.onFailed = onFailed;
   }
 
-  /** Where lists are pushed the gateway holds the watch itself, from the start. */
+  /** Starts to maintain the watch if the list is pushed. */
   public void start() {
     if (pushed) {
-      loop.scheduleWithFixedDelay(this::keepUp, 0, CHECK_EVERY_MS, TimeUnit.MILLISECONDS);
+      loop.scheduleWithFixedDelay(this::maintainWatch, 0, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Sees to a watch of a pushed list that speaks. */
-  private void keepUp() {
+  /** Maintains a watch of a pushed list that receives data. */
+  private void maintainWatch() {
     double now = clock.nowMs();
-    if (watch != null && now - watch.heardAt <= PUSHED_SILENCE_MS) {
-      closeTried();
-    } else if (now - triedAt >= PUSHED_AGAIN_MS) {
-      tryAnother(MOST_TRIED_PUSHED);
+    if (watch != null && now - watch.lastDataAtMs <= PUSHED_TIMEOUT_MS) {
+      closePendingWatches();
+    } else if (now - lastWatchOpenedAtMs >= PUSHED_RETRY_INTERVAL_MS) {
+      openWatch(MAX_PENDING_PUSHED);
     }
   }
 
-  private void tryAnother(int most) {
-    if (tried.size() == most) {
-      tried.removeFirst().close();
+  private void openWatch(int maxPending) {
+    if (pendingWatches.size() == maxPending) {
+      pendingWatches.removeFirst().close();
     }
-    triedAt = clock.nowMs();
-    tried.add(new Call(true));
+    lastWatchOpenedAtMs = clock.nowMs();
+    pendingWatches.add(new Call(true));
   }
 
   /**
-   * The module backs off from a failure, and a call that failed may have waited for most of its
-   * time before: the next one begins no later than it would have beside a silent one. So two calls
-   * that fail in a row, in whichever way, leave time for a third within the 6 s of the pages.
+   * Limits the balancer's back-off after a failure. A failed call may have waited for most of its
+   * time, so the next one begins no later than a hedge of an unresponsive one would have. Two
+   * consecutive failures of any kind thus leave time for a third call within the required 6 s.
    */
-  private void limitBackOff() {
-    cancelNextTry();
-    long delayMs = (long) Math.max(0, triedAt + HEDGE_MS - clock.nowMs());
-    nextTry = loop.schedule(() -> watch(true), delayMs, TimeUnit.MILLISECONDS);
+  private void limitBackoff() {
+    cancelNextWatch();
+    long delayMs = (long) Math.max(0, lastWatchOpenedAtMs + HEDGE_DELAY_MS - clock.nowMs());
+    nextWatch = loop.schedule(() -> watch(true), delayMs, TimeUnit.MILLISECONDS);
   }
 
-  private void cancelNextTry() {
-    if (nextTry != null) {
-      nextTry.cancel(false);
-      nextTry = null;
+  private void cancelNextWatch() {
+    if (nextWatch != null) {
+      nextWatch.cancel(false);
+      nextWatch = null;
     }
   }
 
-  private void closeTried() {
-    tried.forEach(Call::close);
-    tried.clear();
+  private void closePendingWatches() {
+    pendingWatches.forEach(Call::close);
+    pendingWatches.clear();
   }
 
   @Override
   public void watch(boolean on) {
     if (on) {
-      if (watch == null && !pushed && tried.isEmpty()) {
-        tryAnother(MOST_TRIED_ASKED);
+      if (watch == null && !pushed && pendingWatches.isEmpty()) {
+        openWatch(MAX_PENDING_ON_REQUEST);
       }
     } else {
-      cancelNextTry();
-      closeTried();
+      cancelNextWatch();
+      closePendingWatches();
       closeWatch();
     }
   }
@@ -218,10 +235,10 @@
   }
 
   /**
-   * Turns to discovery at another address, at once and with a watch from its beginning: versions of
-   * one service say nothing of another's. What the old one still says is not heard. Should the
-   * first watch there fail, another is opened at once: what is told there counts after 4 s, which
-   * leaves no time for the module to back off.
+   * Switches to discovery at another address, at once and with a watch from version 0, as versions
+   * of one service are not comparable with another's. Data from the old address is ignored. If the
+   * first watch at the new address fails, another is opened at once: the gateway has to know the
+   * list there within 4 s, which leaves no time for the balancer's back-off.
    */
   public void moveTo(InetSocketAddress next) {
     if (next.equals(address)) {
@@ -230,29 +247,29 @@
     log.line("discovery is now at " + next);
     address = next;
     version = 0;
-    List<Call> askedOfOld = List.copyOf(calls);
-    askedOfOld.forEach(Call::close);
+    List<Call> callsToOldAddress = List.copyOf(calls);
+    callsToOldAddress.forEach(Call::close);
     watch(false);
     if (pushed) {
-      triedAt = Double.NEGATIVE_INFINITY;
-      keepUp();
+      lastWatchOpenedAtMs = Double.NEGATIVE_INFINITY;
+      maintainWatch();
     } else {
-      justMoved = true;
+      retryImmediately = true;
       watch(true);
     }
-    askedOfOld.forEach(call -> poll());
+    callsToOldAddress.forEach(call -> poll());
   }
 
-  /** One call: its connection, and what was heard on it so far. */
+  /** A watch or a poll: its connection and the state of its response. */
   private final class Call extends ChannelInboundHandlerAdapter {
     private final boolean isWatch;
     private Channel channel;
     private ScheduledFuture<?> check;
     private HostListReader reader;
-    private boolean good;
-    private boolean whole;
-    private boolean over;
-    private double heardAt = clock.nowMs();
+    private boolean isValid;
+    private boolean listComplete;
+    private boolean closed;
+    private double lastDataAtMs = clock.nowMs();
 
     Call(boolean isWatch) {
       this.isWatch = isWatch;
@@ -271,16 +288,16 @@
       if (!pushed || !isWatch) {
         check =
             loop.scheduleWithFixedDelay(
-                this::checkSilence, CHECK_EVERY_MS, CHECK_EVERY_MS, TimeUnit.MILLISECONDS);
+                this::checkTimeouts, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
       }
-      connecting.addListener(this::connected);
+      connecting.addListener(this::onConnected);
     }
 
-    private void connected(Future<? super Void> connecting) {
+    private void onConnected(Future<? super Void> connecting) {
       if (!connecting.isSuccess()) {
-        // On a later turn, as a connection may fail while the module is still asking for it.
-        boolean unheard = connecting.cause() instanceof ConnectTimeoutException;
-        loop.execute(() -> end("cannot connect", unheard));
+        // In a later event-loop iteration, as a connection may fail while the balancer requests it.
+        boolean timedOut = connecting.cause() instanceof ConnectTimeoutException;
+        loop.execute(() -> fail("cannot connect", timedOut));
         return;
       }
       String path = "/v1/servers" + (isWatch ? "?watch=1&from=" + version : "");
@@ -295,114 +312,114 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       try {
-        if (over) {
+        if (closed) {
           return;
         }
         if (message instanceof HttpResponse response) {
-          heardAt = clock.nowMs();
-          good =
+          lastDataAtMs = clock.nowMs();
+          isValid =
               response.decoderResult().isSuccess()
                   && response.status().equals(HttpResponseStatus.OK);
           reader = new HostListReader(names);
         }
-        if (good && message instanceof HttpContent content) {
+        if (isValid && message instanceof HttpContent content) {
           byte[] bytes = ByteBufUtil.getBytes(content.content());
-          List<HostList.Update> news = reader.feed(bytes);
+          List<HostList.Update> updates = reader.feed(bytes);
           boolean lineEnded = bytes.length > 0 && bytes[bytes.length - 1] == '\n';
-          if (!news.isEmpty() || (lineEnded && reader.isBetweenLines())) {
-            heard();
+          if (!updates.isEmpty() || (lineEnded && reader.isBetweenLines())) {
+            dataReceived();
           }
-          for (HostList.Update update : news) {
-            take(update);
+          for (HostList.Update update : updates) {
+            applyUpdate(update);
           }
-          good = content.decoderResult().isSuccess();
+          isValid = content.decoderResult().isSuccess();
         }
-        if (!good) {
-          end("an answer that is none", false);
+        if (!isValid) {
+          fail("an answer that is none", false);
         } else if (message instanceof LastHttpContent) {
-          end("the answer ended", false);
+          fail("the answer ended", false);
         }
       } catch (IOException | WireException e) {
-        end(e.getMessage(), false);
+        fail(e.getMessage(), false);
       } finally {
         ReferenceCountUtil.release(message);
       }
     }
 
-    /** A line, or an entry of one: bytes that make neither are no sign of life. */
-    private void heard() {
-      heardAt = clock.nowMs();
-      if (tried.remove(this)) {
-        closeTried();
+    /** Called for a complete line or a complete entry of one; other bytes do not count as data. */
+    private void dataReceived() {
+      lastDataAtMs = clock.nowMs();
+      if (pendingWatches.remove(this)) {
+        closePendingWatches();
         closeWatch();
         watch = this;
-        justMoved = false;
+        retryImmediately = false;
       }
     }
 
-    private void take(HostList.Update update) {
+    private void applyUpdate(HostList.Update update) {
       if (update.version() >= 0) {
         version = update.version();
-        whole = true;
+        listComplete = true;
       }
       onUpdate.accept(update);
     }
 
-    /** A peer that was cut off says nothing, and its connection stays open: only time tells. */
-    private void checkSilence() {
+    /** Detects a peer that was partitioned: its connection stays open but receives no data. */
+    private void checkTimeouts() {
       double now = clock.nowMs();
       if (watch == this) {
-        if (now - heardAt > WATCH_SILENCE_MS) {
-          end("silent", true);
+        if (now - lastDataAtMs > WATCH_TIMEOUT_MS) {
+          fail("silent", true);
         }
       } else if (!isWatch) {
-        if (now - heardAt > (whole ? WATCH_SILENCE_MS : FIRST_BYTES_MS)) {
-          end("silent", true);
+        if (now - lastDataAtMs > (listComplete ? WATCH_TIMEOUT_MS : FIRST_BYTES_TIMEOUT_MS)) {
+          fail("silent", true);
         }
-      } else if (tried.peekLast() == this && now - triedAt > HEDGE_MS) {
-        tryAnother(MOST_TRIED_ASKED);
+      } else if (pendingWatches.peekLast() == this && now - lastWatchOpenedAtMs > HEDGE_DELAY_MS) {
+        openWatch(MAX_PENDING_ON_REQUEST);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      end("the connection ended", false);
+      fail("the connection ended", false);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      end(cause.toString(), false);
+      fail(cause.toString(), false);
     }
 
-    private void end(String why, boolean silent) {
-      if (over) {
+    private void fail(String why, boolean unresponsive) {
+      if (closed) {
         return;
       }
       close();
-      boolean hadNotSpoken = tried.remove(this);
+      boolean wasPending = pendingWatches.remove(this);
       if (watch == this) {
         watch = null;
       }
-      if (isWatch ? pushed : whole) {
+      if (isWatch ? pushed : listComplete) {
         return;
       }
       log.line("discovery: " + (isWatch ? "a watch" : "a poll") + " failed: " + why);
-      if (isWatch && !tried.isEmpty()) {
-        return; // The one beside it may still be answered.
+      if (isWatch && !pendingWatches.isEmpty()) {
+        return; // A parallel watch may still be answered.
       }
-      if (isWatch && justMoved) {
-        justMoved = false;
+      if (isWatch && retryImmediately) {
+        retryImmediately = false;
         watch(true);
       } else {
-        onFailed.accept(silent);
-        if (isWatch && hadNotSpoken) {
-          limitBackOff();
+        onFailed.accept(unresponsive);
+        if (isWatch && wasPending) {
+          limitBackoff();
         }
       }
     }
 
     private void close() {
-      over = true;
+      closed = true;
       calls.remove(this);
       if (check != null) {
         check.cancel(false);
--- a/src/main/java/hazelspoke/discovery/HostListJson.java
+++ b/src/main/java/hazelspoke/discovery/HostListJson.java
@@ -10,7 +10,7 @@
 import ternscale.api.HostEntry;
 import ternscale.api.HostEntry.Availability;
 
-/** Discovery's way to write down hosts, in the configuration and in answers alike. */
+/** Reads the JSON form of host lists, which discovery and the configuration share. */
 public final class HostListJson {
   private HostListJson() {}
 
@@ -27,36 +27,37 @@
   }
 
   /**
-   * One entry, or null for a host that cannot be used: in a zone that the settings do not list, as
-   * rule 2 hangs on zones and two unknown ones could not be told apart, or without an address.
+   * Reads one entry. Returns null for an unusable host: one that is up but has no address, or one
+   * in a zone that the settings do not list, as rule 2 depends on zones and unknown ones cannot be
+   * distinguished.
    */
-  public static HostList.Listed entry(JsonTree e, Names names) {
-    String name = e.get("name").text(null);
+  public static HostList.Listed entry(JsonTree fields, Names names) {
+    String name = fields.get("name").text(null);
     if (name == null) {
-      throw e.get("name").error("is missing");
+      throw fields.get("name").error("is missing");
     }
-    int zone = names.zones().indexOf(e.get("zone").text(""));
+    int zone = names.zones().indexOf(fields.get("zone").text(""));
     if (zone < 0) {
       return null;
     }
-    Availability availability = availability(e.get("status"));
-    InetSocketAddress address = Addresses.parse(e.get("address").text(""));
+    Availability availability = availability(fields.get("status"));
+    InetSocketAddress address = Addresses.parse(fields.get("address").text(""));
     if (address == null && availability == Availability.UP) {
       return null;
     }
-    double weight = e.get("weight").number(1);
+    double weight = fields.get("weight").number(1);
     if (weight < 0) {
-      throw e.get("weight").error("is below 0");
+      throw fields.get("weight").error("is below 0");
     }
     return new HostList.Listed(
         new HostEntry(
             name,
             weight,
-            names.kind(e.get("type").text("")),
+            names.kind(fields.get("type").text("")),
             zone,
-            e.get("group").integer(0),
+            fields.get("group").integer(0),
             availability,
-            e.get("since_ms").number(0)),
+            fields.get("since_ms").number(0)),
         address);
   }
 
--- a/src/main/java/hazelspoke/discovery/HostListReader.java
+++ b/src/main/java/hazelspoke/discovery/HostListReader.java
@@ -14,11 +14,11 @@
 import ternscale.adapter.JsonTree;
 
 /**
- * Reads discovery's objects as their bytes come in. An entry counts as soon as it is whole, also in
- * an object that never ends; the version moves on only with a whole object.
+ * Parses discovery's JSON objects incrementally. An entry is returned as soon as it is complete,
+ * even if its object never ends; the version advances only with a complete object.
  */
 public final class HostListReader {
-  /** The objects and the array that an entry lies in: the line, its list, the entry. */
+  /** Nesting depth of the object on a line; below it are its list and the list's entries. */
   private static final int LINE_DEPTH = 1;
 
   private static final int LIST_DEPTH = 2;
@@ -26,14 +26,14 @@
 
   private final Names names;
   private final JsonParser parser;
-  private final List<HostList.Listed> line = new ArrayList<>();
-  private final Map<String, Object> entry = new HashMap<>();
+  private final List<HostList.Listed> lineHosts = new ArrayList<>();
+  private final Map<String, Object> entryFields = new HashMap<>();
   private int depth;
   private boolean inList;
   private String field;
-  private boolean complete;
+  private boolean isSnapshot;
   private long version;
-  private int passedOn;
+  private int returnedCount;
 
   public HostListReader(Names names) throws IOException {
     this.names = names;
@@ -41,86 +41,88 @@
   }
 
   /**
-   * Takes bytes in and returns what they made whole: objects, and at the end the entries of one
-   * that is still open, as changes without a version ({@code version} of -1).
+   * Parses bytes and returns what they completed: objects, and last the complete entries of an
+   * object that is still open, as changes without a version ({@code version} of -1).
    *
-   * @throws IOException for what is no JSON
-   * @throws ternscale.adapter.WireException for an entry that cannot be one
+   * @throws IOException if the bytes are not valid JSON
+   * @throws ternscale.adapter.WireException if an entry is invalid
    */
   public List<HostList.Update> feed(byte[] bytes) throws IOException {
-    List<HostList.Update> out = new ArrayList<>();
+    List<HostList.Update> updates = new ArrayList<>();
     ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, 0, bytes.length);
-    JsonToken t;
-    while ((t = parser.nextToken()) != null && t != JsonToken.NOT_AVAILABLE) {
-      take(t, out);
+    JsonToken token;
+    while ((token = parser.nextToken()) != null && token != JsonToken.NOT_AVAILABLE) {
+      onToken(token, updates);
     }
-    if (line.size() > passedOn) {
-      out.add(new HostList.Update(false, -1, List.copyOf(line.subList(passedOn, line.size()))));
-      passedOn = line.size();
+    if (lineHosts.size() > returnedCount) {
+      updates.add(
+          new HostList.Update(
+              false, -1, List.copyOf(lineHosts.subList(returnedCount, lineHosts.size()))));
+      returnedCount = lineHosts.size();
     }
-    return out;
+    return updates;
   }
 
-  /** Whether all that was fed so far are whole lines, the last of them perhaps an empty one. */
+  /** Whether the bytes so far are complete lines, of which the last may be empty. */
   boolean isBetweenLines() {
     return depth == 0;
   }
 
-  private void take(JsonToken t, List<HostList.Update> out) throws IOException {
-    switch (t) {
+  private void onToken(JsonToken token, List<HostList.Update> updates) throws IOException {
+    switch (token) {
       case START_OBJECT, START_ARRAY -> {
         depth++;
         if (depth == LINE_DEPTH) {
           startLine();
         } else if (depth == LIST_DEPTH) {
-          inList = t == JsonToken.START_ARRAY && field.equals("endpoints");
+          inList = token == JsonToken.START_ARRAY && field.equals("endpoints");
         } else if (depth == ENTRY_DEPTH) {
-          entry.clear();
+          entryFields.clear();
         }
       }
       case END_OBJECT, END_ARRAY -> {
         if (depth == ENTRY_DEPTH && inList) {
-          HostList.Listed host = HostListJson.entry(JsonTree.of("endpoints", entry), names);
+          HostList.Listed host = HostListJson.entry(JsonTree.of("endpoints", entryFields), names);
           if (host != null) {
-            line.add(host);
+            lineHosts.add(host);
           }
         } else if (depth == LIST_DEPTH) {
           inList = false;
         } else if (depth == LINE_DEPTH) {
-          out.add(new HostList.Update(complete, version, List.copyOf(line)));
+          updates.add(new HostList.Update(isSnapshot, version, List.copyOf(lineHosts)));
           startLine();
         }
         depth--;
       }
       case FIELD_NAME -> field = parser.currentName();
-      default -> value(t);
+      default -> onValue(token);
     }
   }
 
   private void startLine() {
-    line.clear();
-    passedOn = 0;
+    lineHosts.clear();
+    returnedCount = 0;
     inList = false;
     field = "";
-    complete = false;
+    isSnapshot = false;
     version = 0;
   }
 
-  private void value(JsonToken t) throws IOException {
+  private void onValue(JsonToken token) throws IOException {
     if (depth == ENTRY_DEPTH && inList) {
       Object value =
-          switch (t) {
+          switch (token) {
             case VALUE_STRING -> parser.getText();
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             default -> null;
           };
-      entry.put(field, value);
-    } else if (depth == LINE_DEPTH && field.equals("index") && t.isNumeric()) {
+      entryFields.put(field, value);
+    } else if (depth == LINE_DEPTH && field.equals("index") && token.isNumeric()) {
       version = parser.getLongValue();
     } else if (depth == LINE_DEPTH && field.equals("snapshot")) {
-      complete = t == JsonToken.VALUE_TRUE;
+      isSnapshot = token == JsonToken.VALUE_TRUE;
     } else if (depth == 0) {
       throw new IOException("a line of discovery's is no object");
     }
