--- a/src/main/java/hazelspoke/back/http/StrictResponseDecoder.java
+++ b/src/main/java/hazelspoke/back/http/StrictResponseDecoder.java
@@ -19,7 +19,7 @@
   @Override
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
     if (line[start + length] != ':') {
-      throw new IllegalArgumentException("a header without a colon");
+      throw new IllegalArgumentException("header name without a colon");
     }
     return super.splitHeaderName(line, start, length);
   }
--- a/src/main/java/hazelspoke/discovery/HostListReader.java
+++ b/src/main/java/hazelspoke/discovery/HostListReader.java
@@ -124,7 +124,7 @@
     } else if (depth == LINE_DEPTH && field.equals("snapshot")) {
       isSnapshot = token == JsonToken.VALUE_TRUE;
     } else if (depth == 0) {
-      throw new IOException("a line of discovery's is no object");
+      throw new IOException("a line of discovery is not a JSON object");
     }
   }
 }
--- a/src/main/java/hazelspoke/front/http/ClientServer.java
+++ b/src/main/java/hazelspoke/front/http/ClientServer.java
@@ -192,7 +192,7 @@
   private final class AcceptFailures extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      log.failure("a client could not be let in", cause);
+      log.failure("cannot accept a client connection", cause);
       ctx.channel().config().setAutoRead(false);
       if (!evictionScheduled) {
         scheduleEviction(ACCEPT_RETRY_MS);
@@ -291,7 +291,7 @@
 
   /** Logs an unexpected exception of this program. */
   void logFailure(Throwable cause) {
-    log.failure("a connection of a client's", cause);
+    log.failure("unexpected error on a client connection", cause);
   }
 
   /** Replaces the classes of requests that clients may use. */
