--- a/src/main/java/hazelspoke/back/http/HostClient.java
+++ b/src/main/java/hazelspoke/back/http/HostClient.java
@@ -3,10 +3,10 @@
 import hazelspoke.core.ByteBudget;
 import hazelspoke.core.Clock;
 import hazelspoke.core.HostCall;
-import hazelspoke.core.Hosts;
+import hazelspoke.core.HostTransport;
 import hazelspoke.net.Buffers;
+import hazelspoke.net.SocketPolling;
 import hazelspoke.net.Transport;
-import hazelspoke.net.Turns;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -28,7 +28,7 @@
 import ternscale.api.Outcome.Result;
 
 /** Pools connections to hosts, most recently used first, within one limit for all hosts. */
-public final class HostClient implements Hosts {
+public final class HostClient implements HostTransport {
   /** Idle connections are closed after this fraction of the host's own idle timeout. */
   private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
@@ -69,9 +69,9 @@
     bootstrap =
         new Bootstrap()
             .group(loop)
-            .channel(transport.client())
+            .channel(transport.clientChannelType())
             .option(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.receiveAllocator())
             .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
             .option(
                 ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, limits.connectTimeoutMs()));
@@ -94,7 +94,7 @@
       }
     }
     if (displaced != null) {
-      forget(displaced.host());
+      remove(displaced.host());
     }
     Pool pool = pools.computeIfAbsent(host.host(), name -> new Pool());
     if (pool.host != null
@@ -108,7 +108,7 @@
   }
 
   @Override
-  public void forget(String host) {
+  public void remove(String host) {
     Pool pool = pools.remove(host);
     if (pool != null) {
       pool.forgotten = true;
@@ -117,9 +117,9 @@
   }
 
   @Override
-  public void keepOnly(Set<String> hosts) {
+  public void retainOnly(Set<String> hosts) {
     List<String> unlisted = pools.keySet().stream().filter(host -> !hosts.contains(host)).toList();
-    unlisted.forEach(this::forget);
+    unlisted.forEach(this::remove);
   }
 
   /** Returns the number of known hosts. */
@@ -128,23 +128,23 @@
   }
 
   @Override
-  public Hosts.Ticket start(String host, HostCall call) {
-    Ticket ticket = new Ticket(call);
+  public HostTransport.CallHandle start(String host, HostCall call) {
+    PendingCall pendingCall = new PendingCall(call);
     Pool pool = pools.get(host);
     if (pool == null) {
-      loop.execute(() -> ticket.fail(Result.CONNECT_FAILED));
-      return ticket;
+      loop.execute(() -> pendingCall.fail(Result.CONNECT_FAILED));
+      return pendingCall;
     }
     HostConnection idle = pool.takeIdle();
     if (idle != null) {
-      ticket.connection = idle;
-      ticket.beginAfterReading();
+      pendingCall.connection = idle;
+      pendingCall.beginAfterReading();
     } else if (connections < maxConnections || closeOneIdle()) {
-      pool.connect(ticket);
+      pool.connect(pendingCall);
     } else {
-      loop.execute(() -> ticket.fail(Result.NOT_SENT));
+      loop.execute(() -> pendingCall.fail(Result.NOT_SENT));
     }
-    return ticket;
+    return pendingCall;
   }
 
   @Override
@@ -176,26 +176,26 @@
   }
 
   /** A call in progress, which its owner can cancel. */
-  private final class Ticket implements Hosts.Ticket {
+  private final class PendingCall implements HostTransport.CallHandle {
     private final HostCall call;
     private HostConnection connection;
-    private boolean begun;
+    private boolean firstByteSent;
     private boolean cancelled;
 
-    private Ticket(HostCall call) {
+    private PendingCall(HostCall call) {
       this.call = call;
     }
 
     /** Begins after pending input was read, as the client may have disconnected during a stall. */
     private void beginAfterReading() {
-      Turns.afterReading(loop, this::begin);
+      SocketPolling.afterPoll(loop, this::begin);
     }
 
     private void begin() {
-      // May cancel this ticket, as it reads pending input of the client.
-      boolean mayBegin = !cancelled && call.mayBegin();
+      // May cancel this call, as it reads pending input of the client.
+      boolean mayBegin = !cancelled && call.maySendFirstByte();
       if (mayBegin && !cancelled && connection.isOfListedHost()) {
-        begun = true;
+        firstByteSent = true;
         connection.begin(call);
       } else {
         connection.close();
@@ -205,22 +205,22 @@
 
     private void fail(Result result) {
       if (!cancelled) {
-        call.ended(result, "");
+        call.onEnd(result, "");
       }
     }
 
     @Override
-    public boolean isBegun() {
-      return begun;
+    public boolean isFirstByteSent() {
+      return firstByteSent;
     }
 
     @Override
-    public boolean isSent() {
+    public boolean isLastByteSent() {
       return connection != null && connection.isSent();
     }
 
     @Override
-    public void giveUp() {
+    public void cancel() {
       cancelled = true;
       if (connection != null) {
         connection.abandonCall();
@@ -265,7 +265,7 @@
       return null;
     }
 
-    private void connect(Ticket ticket) {
+    private void connect(PendingCall pendingCall) {
       connections++;
       ChannelFuture connecting =
           bootstrap
@@ -274,27 +274,27 @@
                   new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                      ticket.connection = new HostConnection(HostClient.this, Pool.this, ch);
-                      ticket.connection.addTo(ch.pipeline());
+                      pendingCall.connection = new HostConnection(HostClient.this, Pool.this, ch);
+                      pendingCall.connection.addTo(ch.pipeline());
                     }
                   })
-              .connect(transport.calling().apply(address));
+              .connect(transport.connectAddress().apply(address));
       connecting.addListener(
           done -> {
             if (done.isSuccess()) {
               connecting.channel().closeFuture().addListener(closed -> connections--);
-              ticket.beginAfterReading();
+              pendingCall.beginAfterReading();
             } else {
               // On the loop, as a failure to open a socket is reported on another thread.
-              loop.execute(() -> onConnectFailed(ticket, done.cause()));
+              loop.execute(() -> onConnectFailed(pendingCall, done.cause()));
             }
           });
     }
 
-    private void onConnectFailed(Ticket ticket, Throwable cause) {
+    private void onConnectFailed(PendingCall pendingCall, Throwable cause) {
       // Not in a close listener: a channel without a descriptor reports no close.
       connections--;
-      ticket.fail(isHostFailure(cause) ? Result.CONNECT_FAILED : Result.NOT_SENT);
+      pendingCall.fail(isHostFailure(cause) ? Result.CONNECT_FAILED : Result.NOT_SENT);
     }
 
     /** Whether the failure is the host's, not a lack of descriptors or ports on this machine. */
--- a/src/main/java/hazelspoke/back/http/HostConnection.java
+++ b/src/main/java/hazelspoke/back/http/HostConnection.java
@@ -1,16 +1,16 @@
 package hazelspoke.back.http;
 
 import hazelspoke.core.Body;
+import hazelspoke.core.BodyStream;
 import hazelspoke.core.ByteBudget;
 import hazelspoke.core.HostCall;
-import hazelspoke.core.Inflow;
 import hazelspoke.core.Request;
 import hazelspoke.http.BodyWriter;
+import hazelspoke.http.ChannelBodySource;
 import hazelspoke.http.HeadWriter;
 import hazelspoke.http.Headers;
 import hazelspoke.http.HttpLimits;
-import hazelspoke.http.ReadingSource;
-import hazelspoke.net.Turns;
+import hazelspoke.net.SocketPolling;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
@@ -46,9 +46,9 @@
   private static final long LAST_BYTE_WAIT_MS = 2;
 
   /**
-   * Hosts write a response without pauses, so one that pauses for this long does not match its own
-   * head. It is treated as malformed; waiting longer would only delay the next attempt of the
-   * request.
+   * HostTransport write a response without pauses, so one that pauses for this long does not match
+   * its own head. It is treated as malformed; waiting longer would only delay the next attempt of
+   * the request.
    */
   private static final long RESPONSE_STALL_MS = 100;
 
@@ -88,7 +88,7 @@
   private ByteBudget.Share responseShare;
 
   /** Receives the remainder of a response too large to be buffered; null for any other. */
-  private Inflow remainder;
+  private BodyStream remainder;
 
   /** Whether the response is delimited by the end of the connection, so its length is unknown. */
   private boolean endsByClose;
@@ -147,7 +147,7 @@
         new BodyWriter(
             channel,
             body,
-            body.wholeLength() == Body.UNKNOWN,
+            body.totalLength() == Body.UNKNOWN_LENGTH,
             withholdLastByte ? this::onAllButLastByteWritten : this::onLastByteWritten,
             this::terminate);
     writer.start(head(request, next.remainingMs()));
@@ -163,9 +163,9 @@
         HeadWriter.request(channel.alloc(), safe ? "GET" : "POST", request.target())
             .add(request.metadata())
             .add(HttpHeaderNames.HOST, pool.authority())
-            .add(Headers.REMAINING, Headers.seconds(remainingMs));
-    long length = request.body().wholeLength();
-    if (length == Body.UNKNOWN) {
+            .add(Headers.REMAINING, Headers.formatSeconds(remainingMs));
+    long length = request.body().totalLength();
+    if (length == Body.UNKNOWN_LENGTH) {
       head.add(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     } else if (length > 0 || !safe) {
       head.add(HttpHeaderNames.CONTENT_LENGTH, Long.toString(length));
@@ -183,7 +183,7 @@
     EventLoop loop = channel.eventLoop();
     loop.schedule(
         // After a stall of the loop, a close by the host or by the client may still be unread.
-        () -> Turns.afterReading(loop, () -> sendLastByte(withheld)),
+        () -> SocketPolling.afterPoll(loop, () -> sendLastByte(withheld)),
         LAST_BYTE_WAIT_MS,
         TimeUnit.MILLISECONDS);
   }
@@ -192,11 +192,11 @@
    * Sends the withheld last byte. Each step before that reads pending input and may end the call.
    */
   private void sendLastByte(HostCall expected) {
-    Turns.readPending(channel);
+    SocketPolling.readPending(channel);
     if (expected == null || call != expected || !channel.isActive()) {
       return;
     }
-    boolean mayFinish = expected.mayFinish();
+    boolean mayFinish = expected.maySendLastByte();
     if (call != expected) {
       return;
     }
@@ -213,7 +213,7 @@
     if (written.isSuccess()) {
       sent = true;
       if (call != null) {
-        call.sent();
+        call.onSent();
       }
     } else {
       terminate();
@@ -258,7 +258,7 @@
       HostCall failed = call;
       call = null;
       releaseResponse();
-      failed.ended(Result.ERROR, report());
+      failed.onEnd(Result.ERROR, report());
     }
     terminate();
   }
@@ -305,17 +305,17 @@
     // A response without a length ends with its connection, and so does a truncated one: it counts
     // as complete only if its head announces that the connection closes.
     endsByClose = length < 0 && !HttpUtil.isTransferEncodingChunked(response);
-    boolean fits = length <= Body.MOST_BYTES && !(endsByClose && reusable);
+    boolean fits = length <= Body.MAX_BYTES && !(endsByClose && reusable);
     if (!response.status().equals(HttpResponseStatus.OK)) {
       boolean rejected =
           (response.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                   || response.status().equals(HttpResponseStatus.GATEWAY_TIMEOUT))
-              && "1".equals(headers.get(Headers.TURNED_AWAY));
+              && "1".equals(headers.get(Headers.REJECTED));
       endCall(rejected ? Result.REJECTED : Result.ERROR);
     } else if (fits) {
       responseBody = new Body();
       responseShare = client.answerBudget().share(this::resumeReading);
-      if (length > Body.WHOLE_ANSWER_BYTES) {
+      if (length > Body.MAX_BUFFERED_RESPONSE_BYTES) {
         startStreaming(length);
       }
     }
@@ -331,7 +331,7 @@
     }
     ByteBuf bytes = content.content();
     bodyBytesRead += bytes.readableBytes();
-    if (bodyBytesRead > Body.MOST_BYTES) {
+    if (bodyBytesRead > Body.MAX_BYTES) {
       rejectResponse();
       return;
     }
@@ -343,8 +343,8 @@
       if (!responseShare.add(more)) {
         channel.config().setAutoRead(false);
       }
-      if (responseBody.length() > Body.WHOLE_ANSWER_BYTES) {
-        startStreaming(Body.UNKNOWN);
+      if (responseBody.bufferedLength() > Body.MAX_BUFFERED_RESPONSE_BYTES) {
+        startStreaming(Body.UNKNOWN_LENGTH);
       }
     }
     if (content instanceof LastHttpContent) {
@@ -355,14 +355,14 @@
   /** Delivers a response whose body is incomplete; the remainder is streamed as it arrives. */
   private void startStreaming(long length) {
     remainder =
-        new Inflow(
-            new ReadingSource(channel) {
+        new BodyStream(
+            new ChannelBodySource(channel) {
               @Override
-              public void abandoned() {
+              public void onAbandoned() {
                 close();
               }
             });
-    responseBody.continueWith(remainder, length);
+    responseBody.setRemainder(remainder, length);
     deliver();
   }
 
@@ -374,7 +374,7 @@
     responseBody = null;
     responseShare = null;
     String report = probing ? body.text() : report();
-    done.answered(Headers.endToEnd(headers), report, body, deliveredShare);
+    done.onAnswer(Headers.endToEnd(headers), report, body, deliveredShare);
   }
 
   private void scheduleStallCheck() {
@@ -412,7 +412,7 @@
     // close the connection before it can be reused.
     channel.eventLoop().execute(this::becomeIdle);
     if (remainder != null) {
-      Inflow complete = remainder;
+      BodyStream complete = remainder;
       remainder = null;
       complete.end();
     } else if (call != null) {
@@ -446,7 +446,7 @@
   private void terminate() {
     readingResponse = false;
     if (remainder != null) {
-      Inflow truncated = remainder;
+      BodyStream truncated = remainder;
       remainder = null;
       truncated.fail();
     }
@@ -467,7 +467,7 @@
     HostCall ended = call;
     call = null;
     releaseResponse();
-    ended.ended(result, report());
+    ended.onEnd(result, report());
   }
 
   private void releaseResponse() {
--- a/src/main/java/hazelspoke/config/OperatorsFile.java
+++ b/src/main/java/hazelspoke/config/OperatorConfig.java
@@ -25,7 +25,7 @@
  *
  * @param fleet null where there is no section of that name
  */
-public record OperatorsFile(FleetSettings fleet) {
+public record OperatorConfig(FleetSettings fleet) {
   /** Names the file. */
   public static final String VARIABLE = "PUMICETRAY_CONFIG";
 
@@ -45,23 +45,23 @@
    * Reads the file.
    *
    * @param environment may name the member
-   * @throws OperatorsFileException with all that is wrong
+   * @throws OperatorConfigException with all that is wrong
    */
-  public static OperatorsFile read(Path file, Map<String, String> environment)
-      throws OperatorsFileException {
+  public static OperatorConfig read(Path file, Map<String, String> environment)
+      throws OperatorConfigException {
     List<String> complaints = new ArrayList<>();
     TomlParseResult parsed;
     try {
       parsed = Toml.parse(file);
     } catch (IOException e) {
-      throw new OperatorsFileException(
+      throw new OperatorConfigException(
           List.of(
               file + ": cannot be read: " + (Files.exists(file) ? e : "there is no such file")));
     }
     for (TomlParseError error : parsed.errors()) {
       complaints.add(file + ":" + error.position().line() + ": " + error.getMessage());
     }
-    Section top = new Section(file.toString(), "", parsed, complaints);
+    TomlSection top = new TomlSection(file.toString(), "", parsed, complaints);
     FleetSettings fleet = null;
     if (complaints.isEmpty()) {
       if (top.has("fleet")) {
@@ -70,14 +70,14 @@
       top.noOthers();
     }
     if (!complaints.isEmpty()) {
-      throw new OperatorsFileException(complaints);
+      throw new OperatorConfigException(complaints);
     }
-    return new OperatorsFile(fleet);
+    return new OperatorConfig(fleet);
   }
 
-  private static FleetSettings fleet(Path file, Section in, Map<String, String> environment) {
+  private static FleetSettings fleet(Path file, TomlSection in, Map<String, String> environment) {
     String name = in.text("name");
-    Section members = in.section("members");
+    TomlSection members = in.section("members");
     Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     for (String member : members.keys()) {
       InetSocketAddress address = address(members, member);
@@ -85,8 +85,8 @@
         addresses.put(member, address);
       }
     }
-    if (members.keys().size() > FleetRecord.MOST_SESSIONS) {
-      in.complain("members", "are more than " + FleetRecord.MOST_SESSIONS);
+    if (members.keys().size() > FleetRecord.MAX_SESSIONS) {
+      in.complain("members", "are more than " + FleetRecord.MAX_SESSIONS);
     }
     unique(in, addresses);
     String self = environment.get(SELF_VARIABLE);
@@ -95,9 +95,9 @@
     }
     isMember(in, "self", self, members.keys());
     List<String> voters = voters(in, members.keys());
-    double termS = in.number("term_s", MemberSettings.USUAL_TERM_NANOS / NANOS_PER_S, 1, 600);
+    double termS = in.number("term_s", MemberSettings.DEFAULT_LEASE_NANOS / NANOS_PER_S, 1, 600);
     double heartbeatMs =
-        in.number("heartbeat_ms", MemberSettings.USUAL_HEARTBEAT_NANOS / NANOS_PER_MS, 20, 5_000);
+        in.number("heartbeat_ms", MemberSettings.DEFAULT_HEARTBEAT_NANOS / NANOS_PER_MS, 20, 5_000);
     if (heartbeatMs * 8 > termS * 1_000) {
       in.complain("heartbeat_ms", "a term has to be eight heartbeats or longer");
     }
@@ -109,9 +109,9 @@
             List.copyOf(new TreeSet<>(addresses.keySet())),
             voters,
             (long) (termS * NANOS_PER_S),
-            in.number("drift", MemberSettings.USUAL_DRIFT, 0, 0.1),
+            in.number("drift", MemberSettings.DEFAULT_DRIFT, 0, 0.1),
             (long) (heartbeatMs * NANOS_PER_MS),
-            (int) in.number("snapshot_every", MemberSettings.USUAL_SNAPSHOT_EVERY, 10, 1_000_000),
+            (int) in.number("snapshot_every", MemberSettings.DEFAULT_SNAPSHOT_EVERY, 10, 1_000_000),
             in.one("refusal", Refusal.COUNTS) == Refusal.COUNTS);
     InetSocketAddress listen = in.has("listen") ? address(in, "listen") : addresses.get(self);
     FleetSettings.Alone alone = in.one("alone", FleetSettings.Alone.SERVE);
@@ -120,7 +120,7 @@
     return new FleetSettings(member, addresses, listen, data, alone);
   }
 
-  private static InetSocketAddress address(Section in, String key) {
+  private static InetSocketAddress address(TomlSection in, String key) {
     InetSocketAddress address = Addresses.parse(in.text(key));
     if (address == null) {
       in.complain(key, "expected an address in figures and a port, such as 10.0.0.4:7400");
@@ -128,7 +128,7 @@
     return address;
   }
 
-  private static void unique(Section in, Map<String, InetSocketAddress> addresses) {
+  private static void unique(TomlSection in, Map<String, InetSocketAddress> addresses) {
     Set<InetSocketAddress> seen = new HashSet<>();
     addresses.forEach(
         (member, address) -> {
@@ -138,15 +138,15 @@
         });
   }
 
-  private static void isMember(Section in, String key, String name, Set<String> members) {
+  private static void isMember(TomlSection in, String key, String name, Set<String> members) {
     if (!name.isEmpty() && !members.contains(name)) {
-      String near = Section.near(name, members);
+      String near = TomlSection.near(name, members);
       in.complain(
           key, "there is no member " + name + (near == null ? "" : "; did you mean " + near + "?"));
     }
   }
 
-  private static List<String> voters(Section in, Set<String> members) {
+  private static List<String> voters(TomlSection in, Set<String> members) {
     List<String> voters = in.texts("voters");
     for (String voter : voters) {
       isMember(in, "voters", voter, members);
@@ -160,7 +160,7 @@
     return voters;
   }
 
-  private static Path data(Path file, Section in) {
+  private static Path data(Path file, TomlSection in) {
     String text = in.text("data");
     try {
       Path folder = file.toAbsolutePath().getParent();
--- a/src/main/java/hazelspoke/discovery/HostListJson.java
+++ b/src/main/java/hazelspoke/discovery/HostListJson.java
@@ -53,7 +53,7 @@
         new HostEntry(
             name,
             weight,
-            names.kind(fields.get("type").text("")),
+            names.kindIndex(fields.get("type").text("")),
             zone,
             fields.get("group").integer(0),
             availability,
--- a/src/main/java/hazelspoke/front/http/ClientConnection.java
+++ b/src/main/java/hazelspoke/front/http/ClientConnection.java
@@ -2,16 +2,16 @@
 
 import hazelspoke.core.Answer;
 import hazelspoke.core.Body;
+import hazelspoke.core.BodyStream;
 import hazelspoke.core.ByteBudget;
 import hazelspoke.core.Client;
 import hazelspoke.core.Exchange;
-import hazelspoke.core.Inflow;
 import hazelspoke.core.Violations;
 import hazelspoke.http.BodyWriter;
+import hazelspoke.http.ChannelBodySource;
 import hazelspoke.http.HeadWriter;
 import hazelspoke.http.Headers;
-import hazelspoke.http.ReadingSource;
-import hazelspoke.net.Turns;
+import hazelspoke.net.SocketPolling;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -108,7 +108,7 @@
   /** Number of body bytes received of the current request. */
   private long bodyBytes;
 
-  /** Its body length according to the head, or {@link Body#UNKNOWN}. */
+  /** Its body length according to the head, or {@link Body#UNKNOWN_LENGTH}. */
   private long declaredBytes;
 
   /** When the last bytes were received. */
@@ -121,7 +121,7 @@
   private long countedBytes;
 
   /** Receives the remainder of a request that was handed over incomplete; null for any other. */
-  private Inflow remainder;
+  private BodyStream remainder;
 
   /** Pieces of the response written to the socket at the last progress. */
   private long piecesSeen;
@@ -171,7 +171,7 @@
 
   /** Whether a request has begun whose response is delayed by this side, not by its client. */
   boolean hasPendingResponse() {
-    boolean awaitsClient = state == State.ANSWERING && writer != null && writer.awaitsPeer();
+    boolean awaitsClient = state == State.ANSWERING && writer != null && writer.isAwaitingPeer();
     return state.isAwaitingResponse() && !awaitsClient;
   }
 
@@ -184,7 +184,7 @@
 
   @Override
   public void readPending() {
-    Turns.readPending(channel);
+    SocketPolling.readPending(channel);
     if (!channel.isActive()) {
       // The channel reports its close in a later event-loop iteration, which may be too late.
       onEnd();
@@ -255,7 +255,7 @@
   private void discard(Object message) {
     lingerBytes += size(message);
     ReferenceCountUtil.release(message);
-    if (lingerBytes > (awaitsRequestBody ? Body.MOST_BYTES : MAX_LINGER_BYTES)) {
+    if (lingerBytes > (awaitsRequestBody ? Body.MAX_BYTES : MAX_LINGER_BYTES)) {
       channel.config().setAutoRead(false);
     }
   }
@@ -342,8 +342,8 @@
 
   /** Whether the client has read nothing for this long although response bytes await it. */
   boolean isUnread(double now, double limitMs) {
-    long pieces = writer == null ? 0 : writer.piecesGone();
-    if (pieces != piecesSeen || (writer != null && !writer.awaitsPeer())) {
+    long pieces = writer == null ? 0 : writer.piecesWritten();
+    if (pieces != piecesSeen || (writer != null && !writer.isAwaitingPeer())) {
       piecesSeen = pieces;
       lastProgressAtMs = now;
     }
@@ -361,16 +361,17 @@
       return;
     }
     exchange = server.exchange(request, this);
-    declaredBytes = HttpUtil.getContentLength(request, Body.UNKNOWN);
+    declaredBytes = HttpUtil.getContentLength(request, Body.UNKNOWN_LENGTH);
     if (HttpUtil.is100ContinueExpected(request)) {
-      channel.writeAndFlush(HeadWriter.answer(channel.alloc(), HttpResponseStatus.CONTINUE).end(0));
+      channel.writeAndFlush(
+          HeadWriter.response(channel.alloc(), HttpResponseStatus.CONTINUE).finish(0));
     }
   }
 
   private void onBody(HttpContent content) throws BadRequestException {
     int byteCount = content.content().readableBytes();
     bodyBytes += byteCount;
-    if (bodyBytes > Body.MOST_BYTES) {
+    if (bodyBytes > Body.MAX_BYTES) {
       throw new BadRequestException(
           HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     }
@@ -383,8 +384,9 @@
       body.append(content.content());
       boolean withinBudget = exchange.share().add(byteCount);
       boolean large =
-          body.length() > Body.WHOLE_REQUEST_BYTES
-              || (body.length() > Body.LEAST_PASSED_ON_BYTES && !server.hasRoomForBodies());
+          body.bufferedLength() > Body.MAX_BUFFERED_REQUEST_BYTES
+              || (body.bufferedLength() > Body.STREAMING_THRESHOLD_BYTES
+                  && !server.hasRoomForBodies());
       if (large && !(content instanceof LastHttpContent)) {
         startStreaming(body);
         return;
@@ -415,26 +417,26 @@
     checkNotOpen();
     Exchange handedOver = exchange;
     remainder =
-        new Inflow(
-            new ReadingSource(channel) {
+        new BodyStream(
+            new ChannelBodySource(channel) {
               @Override
-              public void attached() {
-                body.letGoOfHeld();
+              public void onAttached() {
+                body.releaseBuffered();
                 handedOver.share().release();
               }
 
               @Override
-              public void abandoned() {
+              public void onAbandoned() {
                 // The response is being written; input after it is read and discarded.
                 channel.config().setAutoRead(true);
               }
             });
-    body.continueWith(remainder, declaredBytes);
+    body.setRemainder(remainder, declaredBytes);
     server.requestAccepted(handedOver);
   }
 
   private void stream(HttpContent content) {
-    Inflow target = remainder;
+    BodyStream target = remainder;
     target.offer(ByteBufUtil.getBytes(content.content()));
     if (content instanceof LastHttpContent) {
       remainder = null;
@@ -474,7 +476,9 @@
           respondWithStatus(HttpResponseStatus.SERVICE_UNAVAILABLE, answer.retryAfterMs());
       case FAILED ->
           respondWithStatus(
-              answer.late() ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
+              answer.deadlineExceeded()
+                  ? HttpResponseStatus.GATEWAY_TIMEOUT
+                  : HttpResponseStatus.BAD_GATEWAY,
               0);
     }
   }
@@ -483,7 +487,7 @@
   private void respondFromHost(Answer answer) {
     responseShare = answer.share();
     Body body = answer.body();
-    boolean unknownLength = body.wholeLength() == Body.UNKNOWN;
+    boolean unknownLength = body.totalLength() == Body.UNKNOWN_LENGTH;
     // HTTP/1.0 has no chunked encoding: the end of the connection delimits the response.
     keepAlive &= !unknownLength || !version.equals(HttpVersion.HTTP_1_0);
     write(head(HttpResponseStatus.OK, body).add(answer.metadata()), body);
@@ -500,7 +504,7 @@
     HeadWriter head =
         head(status, body).add(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
     if (retryAfterMs > 0) {
-      head.add(HttpHeaderNames.RETRY_AFTER, Headers.seconds(retryAfterMs));
+      head.add(HttpHeaderNames.RETRY_AFTER, Headers.formatSeconds(retryAfterMs));
     }
     write(head, body);
   }
@@ -510,7 +514,8 @@
     exchange = null;
     remainder = null;
     enter(State.ANSWERING);
-    boolean chunked = body.wholeLength() == Body.UNKNOWN && !version.equals(HttpVersion.HTTP_1_0);
+    boolean chunked =
+        body.totalLength() == Body.UNKNOWN_LENGTH && !version.equals(HttpVersion.HTTP_1_0);
     writer = new BodyWriter(channel, body, chunked, this::onResponseWritten, this::close);
     writer.start(head);
   }
@@ -523,14 +528,14 @@
       awaitsRequestBody = remainder != null;
     }
     keepAlive &= !server.isClosingAfterResponse();
-    HeadWriter head = HeadWriter.answer(channel.alloc(), status);
+    HeadWriter head = HeadWriter.response(channel.alloc(), status);
     if (!keepAlive) {
       head.add(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     } else if (version.equals(HttpVersion.HTTP_1_0)) {
       head.add(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
     }
-    if (body.wholeLength() != Body.UNKNOWN) {
-      head.add(HttpHeaderNames.CONTENT_LENGTH, Long.toString(body.wholeLength()));
+    if (body.totalLength() != Body.UNKNOWN_LENGTH) {
+      head.add(HttpHeaderNames.CONTENT_LENGTH, Long.toString(body.totalLength()));
     } else if (!version.equals(HttpVersion.HTTP_1_0)) {
       head.add(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     }
--- a/src/main/java/hazelspoke/front/http/ClientServer.java
+++ b/src/main/java/hazelspoke/front/http/ClientServer.java
@@ -1,20 +1,20 @@
 package hazelspoke.front.http;
 
 import hazelspoke.core.ByteBudget;
-import hazelspoke.core.ClassBook;
+import hazelspoke.core.ClassRegistry;
 import hazelspoke.core.Clock;
 import hazelspoke.core.Exchange;
-import hazelspoke.core.Intake;
 import hazelspoke.core.Log;
 import hazelspoke.core.Names;
 import hazelspoke.core.Request;
+import hazelspoke.core.RequestHandler;
 import hazelspoke.core.Violations;
 import hazelspoke.front.http.ClientConnection.State;
 import hazelspoke.http.HttpLimits;
 import hazelspoke.net.Buffers;
 import hazelspoke.net.Listener;
+import hazelspoke.net.SocketPolling;
 import hazelspoke.net.Transport;
-import hazelspoke.net.Turns;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -86,8 +86,8 @@
   private final EventLoop loop;
   private final Clock clock;
   private final Names names;
-  private ClassBook classes;
-  private final Intake intake;
+  private ClassRegistry classes;
+  private final RequestHandler requestHandler;
   private final ByteBudget bodyBudget;
   private final Log log;
   private final Violations violations;
@@ -113,8 +113,8 @@
       EventLoop loop,
       Clock clock,
       Names names,
-      ClassBook classes,
-      Intake intake,
+      ClassRegistry classes,
+      RequestHandler requestHandler,
       ByteBudget bodyBudget,
       Log log,
       Violations violations,
@@ -123,7 +123,7 @@
     this.clock = clock;
     this.names = names;
     this.classes = classes;
-    this.intake = intake;
+    this.requestHandler = requestHandler;
     this.bodyBudget = bodyBudget;
     this.log = log;
     this.violations = violations;
@@ -133,7 +133,7 @@
     }
     // After pending input was read, so that bytes received during a stall count.
     loop.scheduleWithFixedDelay(
-        () -> Turns.afterReading(loop, this::closeExpired),
+        () -> SocketPolling.afterPoll(loop, this::closeExpired),
         EXPIRY_CHECK_INTERVAL_MS,
         EXPIRY_CHECK_INTERVAL_MS,
         TimeUnit.MILLISECONDS);
@@ -148,11 +148,11 @@
     ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(loop)
-            .channel(transport.server())
+            .channel(transport.serverChannelType())
             .option(ChannelOption.SO_BACKLOG, BACKLOG)
             .handler(new AcceptFailures())
             .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.receiveAllocator())
             .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
             .childHandler(
                 new ChannelInitializer<Channel>() {
@@ -164,7 +164,7 @@
     if (shared) {
       bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
-    ChannelFuture binding = bootstrap.bind(transport.listening().apply(address));
+    ChannelFuture binding = bootstrap.bind(transport.bindAddress().apply(address));
     listener = binding.channel();
     ready = true;
     return binding;
@@ -203,7 +203,9 @@
   private void scheduleEviction(long delayMs) {
     evictionScheduled = true;
     loop.schedule(
-        () -> Turns.afterReading(loop, this::evictConnections), delayMs, TimeUnit.MILLISECONDS);
+        () -> SocketPolling.afterPoll(loop, this::evictConnections),
+        delayMs,
+        TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -295,7 +297,7 @@
   }
 
   /** Replaces the classes of requests that clients may use. */
-  public void reload(ClassBook next) {
+  public void reload(ClassRegistry next) {
     classes = next;
   }
 
@@ -338,29 +340,29 @@
 
   /** Whether bodies up to the larger limit may be buffered until they are complete. */
   boolean hasRoomForBodies() {
-    return bodyBudget.isRoomy();
+    return bodyBudget.hasHeadroom();
   }
 
   /** Whether another request with the same id is open; it is not affected. */
   public boolean isOpen(Exchange exchange) {
-    return intake.isOpen(exchange.request().txn());
+    return requestHandler.isOpen(exchange.request().txn());
   }
 
   public void requestAccepted(Exchange exchange) {
-    intake.onRequest(exchange);
+    requestHandler.onRequest(exchange);
   }
 
   public void requestComplete(Exchange exchange) {
-    intake.onWhole(exchange);
+    requestHandler.onRequestComplete(exchange);
   }
 
   public void clientDisconnected(Exchange exchange) {
-    intake.onClientGone(exchange);
+    requestHandler.onClientDisconnected(exchange);
   }
 
   /** Called when the response to an accepted request was written or its connection ended before. */
   void responseWritten(Exchange exchange) {
-    intake.onAnswerLeft(exchange);
+    requestHandler.onAnswerWritten(exchange);
   }
 
   /**
@@ -399,7 +401,7 @@
       return true;
     }
     if (listener instanceof Listener closeableListener) {
-      return closeableListener.closeEmpty(maxConnections - openCount);
+      return closeableListener.acceptPendingAndClose(maxConnections - openCount);
     }
     listener.close();
     return true;
--- a/src/test/java/hazelspoke/node/WindowTest.java
+++ b/src/test/java/hazelspoke/node/WindowTest.java
@@ -21,7 +21,7 @@
                   Rig.awaitLatch(fail);
                   return FakeServer.respond(out, "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n");
                 });
-        LateListener late = new LateListener();
+        FullBacklogListener late = new FullBacklogListener();
         FakeDiscovery discovery =
             new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), "Ready")));
         Rig rig =
@@ -42,7 +42,7 @@
       CountDownLatch over = new CountDownLatch(1);
       rig.gateway.loop.schedule(over::countDown, WINDOW_MS + 200, TimeUnit.MILLISECONDS);
       Rig.awaitLatch(over);
-      assertThat(late.letIn()).isZero();
+      assertThat(late.acceptAndCountSenders()).isZero();
       assertThat(rig.metric("upstream_tries")).isEqualTo(1);
     }
   }
