--- a/src/main/java/hazelspoke/back/http/HostClient.java
+++ b/src/main/java/hazelspoke/back/http/HostClient.java
@@ -49,7 +49,7 @@
   private final Bootstrap bootstrap;
   private final double idleTimeoutMs;
   private final int maxConnections;
-  private final ByteBudget answerBudget;
+  private final ByteBudget responseBudget;
   private final Map<String, Pool> pools = new HashMap<>();
   private int connections;
 
@@ -59,12 +59,12 @@
       Clock clock,
       ternscale.api.Settings.Limits limits,
       int maxConnections,
-      ByteBudget answerBudget) {
+      ByteBudget responseBudget) {
     this.loop = loop;
     this.transport = transport;
     this.clock = clock;
     this.maxConnections = maxConnections;
-    this.answerBudget = answerBudget;
+    this.responseBudget = responseBudget;
     idleTimeoutMs = IDLE_TIMEOUT_FRACTION * limits.idleConnectionMs();
     bootstrap =
         new Bootstrap()
@@ -79,8 +79,8 @@
         this::closeExpired, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
-  ByteBudget answerBudget() {
-    return answerBudget;
+  ByteBudget responseBudget() {
+    return responseBudget;
   }
 
   @Override
@@ -111,7 +111,7 @@
   public void remove(String host) {
     Pool pool = pools.remove(host);
     if (pool != null) {
-      pool.forgotten = true;
+      pool.removed = true;
       pool.closeIdle();
     }
   }
@@ -233,10 +233,10 @@
     private final Deque<HostConnection> idle = new ArrayDeque<>();
     private InetSocketAddress address;
     private HostEntry host;
-    private boolean forgotten;
+    private boolean removed;
 
-    boolean isForgotten() {
-      return forgotten;
+    boolean isRemoved() {
+      return removed;
     }
 
     String authority() {
@@ -303,7 +303,7 @@
     }
 
     void addIdle(HostConnection connection) {
-      if (forgotten) {
+      if (removed) {
         connection.close();
         return;
       }
--- a/src/main/java/hazelspoke/back/http/HostConnection.java
+++ b/src/main/java/hazelspoke/back/http/HostConnection.java
@@ -46,9 +46,9 @@
   private static final long LAST_BYTE_WAIT_MS = 2;
 
   /**
-   * HostTransport write a response without pauses, so one that pauses for this long does not match
-   * its own head. It is treated as malformed; waiting longer would only delay the next attempt of
-   * the request.
+   * Hosts write a response without pauses, so one that pauses for this long does not match its own
+   * head. It is treated as malformed; waiting longer would only delay the next attempt of the
+   * request.
    */
   private static final long RESPONSE_STALL_MS = 100;
 
@@ -113,7 +113,7 @@
 
   /** Whether discovery still lists the host of this connection. */
   boolean isOfListedHost() {
-    return !pool.isForgotten();
+    return !pool.isRemoved();
   }
 
   void close() {
@@ -229,8 +229,8 @@
 
   /**
    * Called when bytes arrive, before they are decoded. Bytes that arrive while no request is
-   * pending or before the request has been sent completely responseBody no request: they are a
-   * duplicate of an earlier response, or invalid bytes after one.
+   * pending or before the request has been sent completely answer no request: they are a duplicate
+   * of an earlier response, or invalid bytes after one.
    */
   void bytesReceived() {
     if (sent) {
@@ -314,7 +314,7 @@
       endCall(rejected ? Result.REJECTED : Result.ERROR);
     } else if (fits) {
       responseBody = new Body();
-      responseShare = client.answerBudget().share(this::resumeReading);
+      responseShare = client.responseBudget().share(this::resumeReading);
       if (length > Body.MAX_BUFFERED_RESPONSE_BYTES) {
         startStreaming(length);
       }
@@ -338,9 +338,9 @@
     if (remainder != null && bytes.isReadable()) {
       remainder.offer(ByteBufUtil.getBytes(bytes));
     } else if (call != null && bytes.isReadable()) {
-      int more = bytes.readableBytes();
+      int byteCount = bytes.readableBytes();
       responseBody.append(bytes);
-      if (!responseShare.add(more)) {
+      if (!responseShare.add(byteCount)) {
         channel.config().setAutoRead(false);
       }
       if (responseBody.bufferedLength() > Body.MAX_BUFFERED_RESPONSE_BYTES) {
@@ -408,8 +408,7 @@
     reusable &= !decoder.hasUndecodedBytes();
     cancelStallCheck();
     // In a later event-loop iteration, after all bytes that arrived with the response: surplus
-    // bytes
-    // close the connection before it can be reused.
+    // bytes close the connection before it can be reused.
     channel.eventLoop().execute(this::becomeIdle);
     if (remainder != null) {
       BodyStream complete = remainder;
--- a/src/main/java/hazelspoke/discovery/HostListJson.java
+++ b/src/main/java/hazelspoke/discovery/HostListJson.java
@@ -28,8 +28,8 @@
 
   /**
    * Reads one entry. Returns null for an unusable host: one that is up but has no address, or one
-   * in a zone that the settings do not list, as rule 2 depends on zones and unknown ones cannot be
-   * distinguished.
+   * in a zone that the settings do not list, as duplicate suppression (rule 2) depends on zones and
+   * unknown ones cannot be distinguished.
    */
   public static HostList.Listed entry(JsonTree fields, Names names) {
     String name = fields.get("name").text(null);
--- a/src/main/java/hazelspoke/front/http/ClientConnection.java
+++ b/src/main/java/hazelspoke/front/http/ClientConnection.java
@@ -46,7 +46,7 @@
   /** How long input is read after the last response, so that no reset destroys that response. */
   private static final long LINGER_MS = 1_000;
 
-  /** Limit of the input discarded in that time. */
+  /** Limit of the input discarded in that time, against clients that never stop sending. */
   private static final int MAX_LINGER_BYTES = 262_144;
 
   /**
@@ -63,7 +63,7 @@
     FRESH,
     /** The first bytes of a request were received, and its head is incomplete. */
     HEAD,
-    /** Between requests. */
+    /** Idle between two requests. */
     IDLE,
     /** The head of a request was received, and its body is incomplete. */
     READING,
@@ -271,7 +271,7 @@
       server.clientDisconnected(exchange);
       exchange = null;
     }
-    answer(HttpResponseStatus.BAD_REQUEST, "one request at a time", 0);
+    sendOwnResponse(HttpResponseStatus.BAD_REQUEST, "one request at a time", 0);
   }
 
   private static int size(Object message) {
@@ -302,7 +302,7 @@
   void reject(HttpResponseStatus status, String why) {
     keepAlive = false;
     dropExchange();
-    answer(status, why, 0);
+    sendOwnResponse(status, why, 0);
   }
 
   /** Ends a connection whose request is not complete in time or on which none was received. */
@@ -400,7 +400,7 @@
       if (isHealthCheck) {
         enter(State.IN_HAND);
         boolean ready = server.isReady();
-        answer(
+        sendOwnResponse(
             ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
             ready ? "ready" : "closing",
             0);
@@ -495,10 +495,10 @@
 
   /** Writes a response of the gateway itself, with the reason phrase as its body. */
   private void respondWithStatus(HttpResponseStatus status, double retryAfterMs) {
-    answer(status, status.reasonPhrase(), retryAfterMs);
+    sendOwnResponse(status, status.reasonPhrase(), retryAfterMs);
   }
 
-  private void answer(HttpResponseStatus status, String text, double retryAfterMs) {
+  private void sendOwnResponse(HttpResponseStatus status, String text, double retryAfterMs) {
     Body body = new Body();
     body.append(Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8));
     HeadWriter head =
@@ -639,7 +639,7 @@
       exchange = null;
     }
     dropExchange();
-    answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "a fault of this gateway", 0);
+    sendOwnResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "a fault of this gateway", 0);
   }
 
   @Override
--- a/src/main/java/hazelspoke/front/http/ClientServer.java
+++ b/src/main/java/hazelspoke/front/http/ClientServer.java
@@ -62,7 +62,7 @@
   private static final double UNREAD_TIMEOUT_MS = 3_000;
 
   /** Time that a connection has in its state before it may be evicted for a new one. */
-  private static final double MIN_STATE_MS = 10;
+  private static final double MIN_EVICTION_AGE_MS = 10;
 
   /**
    * How long idle connections stay open in a drain by operators. A client that returns within this
@@ -150,7 +150,7 @@
             .group(loop)
             .channel(transport.serverChannelType())
             .option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .handler(new AcceptFailures())
+            .handler(new AcceptFailureHandler())
             .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
             .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.receiveAllocator())
             .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
@@ -189,7 +189,7 @@
    * Handles failures to accept, which may pass soon: a client disconnected, or descriptors ran out.
    * Netty's own handler would stop accepting for 1 s, which exceeds the deadline of many requests.
    */
-  private final class AcceptFailures extends ChannelInboundHandlerAdapter {
+  private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       log.failure("cannot accept a client connection", cause);
@@ -221,7 +221,7 @@
     while (openCount >= maxConnections) {
       ClientConnection victim = selectVictim(now);
       if (victim == null) {
-        scheduleEviction((long) MIN_STATE_MS);
+        scheduleEviction((long) MIN_EVICTION_AGE_MS);
         return;
       }
       victim.evict();
@@ -234,7 +234,7 @@
       Set<ClientConnection> candidates = byState.get(state);
       if (!candidates.isEmpty()) {
         ClientConnection longest = candidates.iterator().next();
-        if (now - longest.enteredAtMs() >= MIN_STATE_MS) {
+        if (now - longest.enteredAtMs() >= MIN_EVICTION_AGE_MS) {
           return longest;
         }
         // Within that time, new connections send bytes or may be evicted, and answered clients
