--- a/src/test/java/hazelspoke/node/Rig.java
+++ b/src/test/java/hazelspoke/node/Rig.java
@@ -22,9 +22,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.UnaryOperator;
 
-/** A gateway between fakes, all on loopback. */
+/** Test rig: a gateway between fake hosts and a fake discovery server, all on loopback. */
 final class Rig implements AutoCloseable {
-  /** As good as for ever: what is waited for either comes soon or is broken. */
+  /** Timeout of all waits, far longer than any expected event takes. */
   static final int PATIENCE_MS = 30_000;
 
   private static final AtomicInteger IDS = new AtomicInteger();
@@ -36,33 +36,33 @@
   final InetSocketAddress address;
   private final Path folder;
   final InetSocketAddress operators;
-  private final String known;
-  private boolean left;
+  private final String knownHosts;
+  private boolean isShutDown;
 
-  /** {@code hosts} are what the gateway knows of at its start. */
+  /** Starts a gateway whose configuration lists {@code hosts}. */
   Rig(int sockets, FakeServer discovery, FakeServer... hosts) throws Exception {
     this(sockets, discovery, config -> config, hosts);
   }
 
-  /** With other settings from the start. */
+  /** Starts a gateway whose configuration is changed by {@code settings}. */
   Rig(int sockets, FakeServer discovery, UnaryOperator<String> settings, FakeServer... hosts)
       throws Exception {
     ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.PARANOID);
     file = Files.createTempFile("gateway", ".json");
     environment = Map.of("NODE_CONFIG", file.toString(), "NODE_MANAGEMENT", "127.0.0.1:0");
-    known = list(1, hosts);
+    knownHosts = list(1, hosts);
     configure(settings.apply(config(sockets, discovery.address())));
     gateway =
         new Gateway(GatewayConfig.read(environment), new PrintStream(log, true), Transport.TCP);
     gateway.maxDeadlineMs = PATIENCE_MS;
     operators = gateway.openManagement();
     folder = Files.createTempDirectory("gateway");
-    gateway.setPidFile(succession(1));
+    gateway.setPidFile(pidFile(1));
     address = (InetSocketAddress) gateway.start();
   }
 
-  /** The place of a process with this id; all of them run. */
-  ServingPidFile succession(long process) {
+  /** The PID file as a process with this id sees it; all other processes count as running. */
+  ServingPidFile pidFile(long process) {
     return new ServingPidFile(folder, "here", process, id -> true);
   }
 
@@ -71,10 +71,10 @@
   }
 
   String config(int sockets, String discovery) {
-    return config("127.0.0.1:0", sockets, discovery, known);
+    return config("127.0.0.1:0", sockets, discovery, knownHosts);
   }
 
-  static String config(String listen, int sockets, String discovery, String known) {
+  static String config(String listen, int sockets, String discovery, String knownHosts) {
     return """
         {"name":"n0","listen":"%s","discovery":"%s","seed":"1","limits":{"sockets":%d},
          "known":%s,"settings":{"areas":["a"],"az":0,"instances":1,"discovery":"pushed","quantum":1,
@@ -88,7 +88,7 @@
          "rules":{"cold_from":0.9,"cold":1000,"fall_multiple":3,"fall":3000,"drain_grace":1000,
           "grace_to_answer":20,"must_ask_in":10000},"kinds":["k"]}}
         """
-        .formatted(listen, discovery, sockets, known);
+        .formatted(listen, discovery, sockets, knownHosts);
   }
 
   static String list(int index, FakeServer... hosts) {
@@ -100,13 +100,13 @@
         .formatted(index, String.join(",", entries));
   }
 
-  static String entry(String name, FakeServer host, String status, long since) {
+  static String entry(String name, FakeServer host, String status, long startedMs) {
     return entry(host.address(), status)
-        .replace("\"since_ms\":0", "\"since_ms\":" + since)
+        .replace("\"since_ms\":0", "\"since_ms\":" + startedMs)
         .replace("\"h" + host.address() + "\"", "\"" + name + "\"");
   }
 
-  /** One that started long ago and is named after its address. */
+  /** Entry of a host that started long ago and is named after its address. */
   static String entry(String address, String status) {
     return """
         {"name":"h%s","address":"%s","zone":"a","type":"k","group":0,"status":"%s","weight":1.0,\
@@ -114,13 +114,13 @@
         .formatted(address, address, status);
   }
 
-  /** A list, or changes to it, of such entries. */
-  static String list(int index, boolean whole, String... entries) {
+  /** A complete list of such entries, or changes to a list. */
+  static String list(int index, boolean isSnapshot, String... entries) {
     return "{\"index\":%d,\"snapshot\":%b,\"endpoints\":[%s]}"
-        .formatted(index, whole, String.join(",", entries));
+        .formatted(index, isSnapshot, String.join(",", entries));
   }
 
-  /** A discovery that tells one list to whoever watches, and then keeps silent. */
+  /** A discovery server that sends one list to each watch and nothing after it. */
   static FakeServer discovery(String list) throws IOException {
     return new FakeServer(
         (head, out) ->
@@ -137,11 +137,11 @@
     return "txn" + IDS.incrementAndGet();
   }
 
-  static String dispatch(String txn, String more) {
+  static String dispatch(String txn, String extraHeaders) {
     return "POST /dispatch HTTP/1.1\r\nHost: x\r\nX-Lane: dispatch\r\nX-Txn: "
         + txn
         + "\r\nX-Remaining: 20.0\r\n"
-        + more
+        + extraHeaders
         + "\r\n";
   }
 
@@ -157,7 +157,9 @@
     out.flush();
   }
 
-  /** The next answer on a connection: its head and body, or null when it ends without one. */
+  /**
+   * Reads the next response on a connection: its head and body, or null if it closes without one.
+   */
   static String receive(Socket socket) throws IOException {
     try {
       String head = FakeServer.head(socket.getInputStream());
@@ -172,44 +174,44 @@
     }
   }
 
-  /** Lets the gateway read all that lies at its sockets by now, and do what follows from it. */
+  /** Lets the gateway's event loop read all pending input and handle it. */
   void runLoopIterations() throws Exception {
     for (int i = 0; i < 3; i++) {
       gateway.loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).sync();
     }
   }
 
-  /** Waits until connections to hosts that have carried an answer may be used again. */
+  /** Waits until connections to hosts may be reused after their last response. */
   void awaitReusableConnections() throws Exception {
-    // Whatever rests since an answer has come to rest before this; what is timed comes behind it.
+    // Connections with a complete response are idle once this ran; the timer starts after it.
     gateway.loop.submit(() -> {}).sync();
-    long restMs = (long) HostClient.REUSE_DELAY_MS + 1;
-    gateway.loop.schedule(() -> {}, restMs, TimeUnit.MILLISECONDS).sync();
+    long reuseDelayMs = (long) HostClient.REUSE_DELAY_MS + 1;
+    gateway.loop.schedule(() -> {}, reuseDelayMs, TimeUnit.MILLISECONDS).sync();
   }
 
-  static String look(String txn, String more) {
+  static String look(String txn, String extraHeaders) {
     return "GET /look HTTP/1.1\r\nHost: x\r\nX-Lane: look\r\nX-Txn: "
         + txn
         + "\r\nX-Remaining: 20.0\r\n"
-        + more
+        + extraHeaders
         + "\r\n";
   }
 
-  /** Begins to take leave, and returns once the gateway has let go of what rests. */
+  /** Starts a shutdown and returns once the gateway has closed its idle connections. */
   Thread beginShutdown() throws Exception {
-    Thread leaving = new Thread(this::shutDown);
-    leaving.start();
+    Thread shutdown = new Thread(this::shutDown);
+    shutdown.start();
     await("told to leave", () -> log.toString().contains("taking leave"));
-    CountDownLatch over = new CountDownLatch(1);
-    // Its own timers come in their order: what it does at 500 ms has begun by then, and is done
+    CountDownLatch idleClosed = new CountDownLatch(1);
+    // Timers run in order: the gateway's action at 500 ms has started by 700 ms, and is complete
     // once its sockets were read again.
-    gateway.loop.schedule(over::countDown, 700, TimeUnit.MILLISECONDS);
-    awaitLatch(over);
+    gateway.loop.schedule(idleClosed::countDown, 700, TimeUnit.MILLISECONDS);
+    awaitLatch(idleClosed);
     runLoopIterations();
-    return leaving;
+    return shutdown;
   }
 
-  /** One request on a connection of its own. */
+  /** Sends one request on a new connection and returns its response. */
   String request(String request) throws IOException {
     try (Socket socket = connect()) {
       send(socket, request);
@@ -217,7 +219,7 @@
     }
   }
 
-  /** One call of an operator's: the answer's status and body. */
+  /** Sends one request to the operators' listener and returns the response's status and body. */
   String callOperators(String call) throws IOException {
     try (Socket socket = new Socket(operators.getAddress(), operators.getPort())) {
       socket.setSoTimeout(PATIENCE_MS);
@@ -227,7 +229,7 @@
     }
   }
 
-  /** A figure of {@code /_vars}; -1 when it is not there. */
+  /** Returns a metric of {@code /_vars}; -1 if it is missing. */
   long metric(String name) {
     try {
       return callOperators("GET /_vars")
@@ -246,36 +248,36 @@
     long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
-        throw new AssertionError("never came: " + what);
+        throw new AssertionError("timed out waiting for: " + what);
       }
       Thread.sleep(5);
     }
   }
 
-  /** Holds a thread up until the test lets it go on. */
-  static void awaitLatch(CountDownLatch until) {
+  /** Blocks the calling thread until the latch opens. */
+  static void awaitLatch(CountDownLatch latch) {
     try {
-      until.await(PATIENCE_MS, TimeUnit.MILLISECONDS);
+      latch.await(PATIENCE_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** A host that answers well, and what has this path only once it may. */
-  static FakeServer blockingHost(String path, CountDownLatch until) throws IOException {
+  /** A host that responds to requests with this path only once the latch opens. */
+  static FakeServer blockingHost(String path, CountDownLatch latch) throws IOException {
     return new FakeServer(
         (head, out) -> {
           if (head.contains(path)) {
-            awaitLatch(until);
+            awaitLatch(latch);
           }
           return FakeServer.respond(out, FakeServer.ok("done"));
         });
   }
 
-  /** Takes leave as after SIGTERM; the gateway is gone when this returns. */
+  /** Shuts the gateway down as SIGTERM does; returns when it has stopped. */
   void shutDown() {
-    if (!left) {
-      left = true;
+    if (!isShutDown) {
+      isShutDown = true;
       gateway.drain();
     }
   }
--- a/src/test/java/hazelspoke/node/TakeoverTest.java
+++ b/src/test/java/hazelspoke/node/TakeoverTest.java
@@ -29,7 +29,7 @@
             GatewayConfig.read(rig.environment), new PrintStream(rig.log, true), Transport.TCP);
     next.maxDeadlineMs = Rig.PATIENCE_MS;
     next.openManagement();
-    next.setPidFile(rig.succession(2));
+    next.setPidFile(rig.pidFile(2));
     next.start();
     return next;
   }
