--- a/src/main/java/hazelspoke/FleetCommand.java
+++ b/src/main/java/hazelspoke/FleetCommand.java
@@ -200,7 +200,7 @@
               in.number("age_ms") < 0
                   ? "current at no known time"
                   : String.format(Locale.ROOT, "current %.1f s ago", in.number("age_ms") / 1e3),
-              in.truth("holds") ? "" : "; " + in.text("self") + " is alone: this may be old"));
+              in.bool("holds") ? "" : "; " + in.text("self") + " is alone: this may be old"));
       String leader = in.text("leader");
       List<String> voters = in.texts("voters");
       out.append(
@@ -236,7 +236,7 @@
         for (String text : List.of("fleet", "self", "leader", "alone")) {
           json.writeStringField(text, in.text(text));
         }
-        json.writeBooleanField("holds", in.truth("holds"));
+        json.writeBooleanField("holds", in.bool("holds"));
         json.writeNumberField("age_ms", in.number("age_ms"));
         json.writeNumberField("index", in.number("index"));
         json.writeArrayFieldStart("voters");
--- a/src/main/java/hazelspoke/agreement/engine/Engine.java
+++ b/src/main/java/hazelspoke/agreement/engine/Engine.java
@@ -44,28 +44,28 @@
     void send(VoterId to, byte[] message);
 
     /** An entry was applied; the engine's record stands there now. */
-    void applied(long index, byte[] entry);
+    void entryApplied(long index, byte[] entry);
 
     /** A snapshot took the place of the record; the engine's record stands there now. */
-    void installed(long index);
+    void snapshotInstalled(long index);
 
     /** This voter has become the leader of a term, or has ceased to be. */
-    void leads(boolean leads, int term);
+    void leadershipChanged(boolean isLeader, int term);
 
     /** Its engine cannot go on as it is, and is to be started anew from the disk. */
-    void parted(String why);
+    void restartRequired(String reason);
 
     /** It will not vote or acknowledge any more. */
-    void failed(IOException why);
+    void storeFailed(IOException cause);
   }
 
   /**
    * How an engine keeps time.
    *
    * @param heartbeatNanos between a leader's signs of life
-   * @param snapshotEvery so many entries
+   * @param snapshotEveryEntries so many entries
    */
-  public record Pace(long heartbeatNanos, int snapshotEvery) {}
+  public record Parameters(long heartbeatNanos, int snapshotEveryEntries) {}
 
   /** Without a sign of a leader for so many heartbeats a voter calls for an election. */
   static final int HEARTBEATS_MISSED = 3;
@@ -78,31 +78,31 @@
   private final VoterId self;
   private final Object group;
   private final Owner owner;
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final VoterStore store;
   private final RaftNode node;
   private FleetRecord record = new FleetRecord();
   private long applied;
   private boolean muted;
   private boolean leads;
-  private long leaderHeardAt;
+  private long lastLeaderContactNanos;
 
   /**
    * What an engine is made from.
    *
    * @param fleet its name; messages of another one's are refused
    * @param self whose vote it is
-   * @param founders the voters at the beginning of the record
+   * @param initialVoters the voters at the beginning of the record
    * @param store what it must not forget
    * @param random of this life alone
    */
   public record Setup(
       String fleet,
       VoterId self,
-      Collection<VoterId> founders,
+      Collection<VoterId> initialVoters,
       RecordStore store,
-      Pace pace,
-      Turns turns,
+      Parameters parameters,
+      Scheduler scheduler,
       Random random,
       Owner owner) {}
 
@@ -115,11 +115,12 @@
     self = setup.self();
     group = setup.fleet();
     owner = setup.owner();
-    turns = setup.turns();
+    scheduler = setup.scheduler();
     store = new VoterStore(setup.store(), this::storeFailed, this::part);
-    leaderHeardAt = turns.nanos();
-    Collection<RaftEndpoint> first = new LinkedHashSet<>(setup.founders());
-    EngineTime time = new EngineTime(turns, setup.pace().heartbeatNanos(), this::defect);
+    lastLeaderContactNanos = scheduler.nanos();
+    Collection<RaftEndpoint> first = new LinkedHashSet<>(setup.initialVoters());
+    EngineExecutor time =
+        new EngineExecutor(scheduler, setup.parameters().heartbeatNanos(), this::defect);
     RaftNode.RaftNodeBuilder builder =
         RaftNode.newBuilder()
             .setGroupId(group)
@@ -130,7 +131,7 @@
                     .setLeaderElectionTimeoutMillis(1_000)
                     .setAppendEntriesRequestBatchSize(BATCH)
                     .setMaxPendingLogEntryCount(MOST_PENDING)
-                    .setCommitCountToTakeSnapshot(setup.pace().snapshotEvery())
+                    .setCommitCountToTakeSnapshot(setup.parameters().snapshotEveryEntries())
                     .setTransferSnapshotsFromFollowersEnabled(false)
                     .build())
             .setExecutor(time)
@@ -160,12 +161,12 @@
    * The index of the last entry or snapshot that the record was told of here; a change of voters is
    * an entry that it is not told of.
    */
-  public long applied() {
+  public long appliedIndex() {
     return applied;
   }
 
   /** Whether it leads, as far as it knows. */
-  public boolean leads() {
+  public boolean isLeader() {
     return !muted && self.equals(leader());
   }
 
@@ -184,7 +185,7 @@
   }
 
   /** The voters and those that are filled without a vote, by the same change. */
-  public List<VoterId> filled() {
+  public List<VoterId> votersAndLearners() {
     return node.getEffectiveMembers().getMembers().stream().map(v -> (VoterId) v).toList();
   }
 
@@ -201,7 +202,7 @@
     }
     if (!muted) {
       if (read instanceof AppendEntriesRequest || read instanceof InstallSnapshotRequest) {
-        leaderHeardAt = turns.nanos();
+        lastLeaderContactNanos = scheduler.nanos();
       }
       if (read instanceof AppendEntriesRequest request) {
         append(request);
@@ -266,7 +267,7 @@
    * it is given one that cannot be granted, as it comes from an empty log.
    */
   private void learnTerm(PreVoteResponse response) {
-    if (!response.isGranted() && isLater(response.getTerm())) {
+    if (!response.isGranted() && isLaterTerm(response.getTerm())) {
       node.handle(
           Operations.MODELS
               .createVoteRequestBuilder()
@@ -281,21 +282,21 @@
   }
 
   /** The next term may only be the question's own, sent back; taken over, it would never end. */
-  protected boolean isLater(int heard) {
-    return heard > term() + 1;
+  protected boolean isLaterTerm(int receivedTerm) {
+    return receivedTerm > term() + 1;
   }
 
   /**
    * MicroRaft 0.7 counts a candidate's own vote also where it is no voter any more: one more vote
    * of three, and whoever had led and was removed would overwrite what was agreed on.
    */
-  protected boolean mayAskForVotes() {
+  protected boolean mayRequestVotes() {
     return voters().contains(self);
   }
 
   /** When a leader's sign of life came last, or else the start; on its owner's clock, in ns. */
-  public long leaderHeardAt() {
-    return leaderHeardAt;
+  public long lastLeaderContactNanos() {
+    return lastLeaderContactNanos;
   }
 
   /**
@@ -313,12 +314,12 @@
    * says then is as new as any answer that was given before the call. Fails where this is no
    * leader.
    */
-  public CompletableFuture<Long> confirm() {
+  public CompletableFuture<Long> confirmLeadership() {
     if (muted) {
       return CompletableFuture.failedFuture(new IllegalStateException("this voter has failed"));
     }
     return node.<Long>query(READ, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
-        .thenCompose(read -> onceApplied(read.getCommitIndex()));
+        .thenCompose(read -> verifyApplied(read.getCommitIndex()));
   }
 
   /**
@@ -326,9 +327,9 @@
    * leader that was just elected, with all that it had not known to be agreed on before. So an
    * answer counts in the turn after, if the record was told of all by then; who asks does so again.
    */
-  protected CompletableFuture<Long> onceApplied(long index) {
+  protected CompletableFuture<Long> verifyApplied(long index) {
     CompletableFuture<Long> done = new CompletableFuture<>();
-    turns.execute(
+    scheduler.execute(
         () -> {
           if (muted || !store.isTold(index)) {
             done.completeExceptionally(
@@ -350,7 +351,7 @@
    * Has a member filled without a vote, as one that is far behind would hold up the others. Done
    * once that is agreed on, with the entry that says so.
    */
-  public CompletableFuture<Long> learn(VoterId voter) {
+  public CompletableFuture<Long> addLearner(VoterId voter) {
     return change(voter, MembershipChangeMode.ADD_LEARNER).thenApply(Ordered::getCommitIndex);
   }
 
@@ -360,7 +361,7 @@
   }
 
   /** Has another voter lead; done once it does, as far as this one knows. */
-  public CompletableFuture<Void> handOver(VoterId to) {
+  public CompletableFuture<Void> transferLeadership(VoterId to) {
     return node.transferLeadership(to).thenApply(x -> null);
   }
 
@@ -390,14 +391,14 @@
   protected void storeFailed(IOException why) {
     if (!muted) {
       stop();
-      owner.failed(why);
+      owner.storeFailed(why);
     }
   }
 
   /** The disk has let go of entries that the engine still holds. */
   private void part() {
     stop();
-    owner.parted("what was agreed on contradicts entries");
+    owner.restartRequired("what was agreed on contradicts entries");
   }
 
   /**
@@ -408,7 +409,7 @@
   private void defect(Throwable what) {
     if (!muted) {
       stop();
-      owner.parted(what.toString());
+      owner.restartRequired(what.toString());
     }
   }
 
@@ -418,8 +419,8 @@
             && !RaftNodeStatus.isTerminal(report.getStatus());
     if (now != leads) {
       leads = now;
-      leaderHeardAt = turns.nanos();
-      owner.leads(now, report.getTerm().getTerm());
+      lastLeaderContactNanos = scheduler.nanos();
+      owner.leadershipChanged(now, report.getTerm().getTerm());
     }
   }
 
@@ -427,7 +428,7 @@
     @Override
     public void send(RaftEndpoint to, RaftMessage message) {
       boolean asksForVotes = message instanceof VoteRequest || message instanceof PreVoteRequest;
-      if (!muted && (!asksForVotes || mayAskForVotes())) {
+      if (!muted && (!asksForVotes || mayRequestVotes())) {
         owner.send((VoterId) to, Messages.write(message));
       }
     }
@@ -448,7 +449,7 @@
       CommandResult answer = record.applyEntry(index, entry);
       applied = index;
       store.told(index);
-      owner.applied(index, entry);
+      owner.entryApplied(index, entry);
       return answer;
     }
 
@@ -470,7 +471,7 @@
       record.advanceTo(index);
       applied = index;
       store.told(index);
-      owner.installed(index);
+      owner.snapshotInstalled(index);
     }
 
     @Override
--- a/src/main/java/hazelspoke/agreement/engine/EngineTime.java
+++ b/src/main/java/hazelspoke/agreement/engine/EngineExecutor.java
@@ -12,8 +12,8 @@
  * The engine's time and its turns. MicroRaft counts heartbeats in whole seconds, which is slow
  * within one site; so its second is a part of ours, for its clock and its delays alike.
  */
-final class EngineTime extends Clock implements RaftNodeExecutor {
-  private final Turns turns;
+final class EngineExecutor extends Clock implements RaftNodeExecutor {
+  private final Scheduler scheduler;
   private final long secondNanos;
   private final long begun;
   private final Consumer<Throwable> onDefect;
@@ -22,16 +22,16 @@
    * @param secondNanos a second of the engine's
    * @param onDefect hears what the engine throws on a turn of its own, which it never should
    */
-  EngineTime(Turns turns, long secondNanos, Consumer<Throwable> onDefect) {
-    this.turns = turns;
+  EngineExecutor(Scheduler scheduler, long secondNanos, Consumer<Throwable> onDefect) {
+    this.scheduler = scheduler;
     this.onDefect = onDefect;
     this.secondNanos = secondNanos;
-    begun = turns.nanos();
+    begun = scheduler.nanos();
   }
 
   @Override
   public void execute(Runnable task) {
-    turns.execute(() -> run(task));
+    scheduler.execute(() -> run(task));
   }
 
   @Override
@@ -49,12 +49,12 @@
 
   @Override
   public void schedule(Runnable task, long delay, TimeUnit unit) {
-    turns.after((long) (unit.toNanos(delay) * (secondNanos / 1e9)), () -> run(task));
+    scheduler.schedule((long) (unit.toNanos(delay) * (secondNanos / 1e9)), () -> run(task));
   }
 
   @Override
   public long millis() {
-    return (long) ((turns.nanos() - begun) * 1e3 / secondNanos);
+    return (long) ((scheduler.nanos() - begun) * 1e3 / secondNanos);
   }
 
   @Override
--- a/src/main/java/hazelspoke/agreement/engine/Messages.java
+++ b/src/main/java/hazelspoke/agreement/engine/Messages.java
@@ -109,7 +109,7 @@
   static RaftMessage read(byte[] bytes, Object group) throws MalformedException {
     Fields in = Cbor.read(bytes);
     RaftEndpoint sender = VoterId.parse(in.text("sender"));
-    int term = in.count("term");
+    int term = in.nonNegativeInt("term");
     return switch (in.text("is")) {
       case "append" -> append(in, group, sender, term);
       case "appended" ->
@@ -138,7 +138,7 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setLastLogTerm(in.count("logTerm"))
+              .setLastLogTerm(in.nonNegativeInt("logTerm"))
               .setLastLogIndex(in.number("logIndex"))
               .build();
       case "preVoted" ->
@@ -147,7 +147,7 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setGranted(in.truth("granted"))
+              .setGranted(in.bool("granted"))
               .build();
       case "vote" ->
           MODELS
@@ -155,9 +155,9 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setLastLogTerm(in.count("logTerm"))
+              .setLastLogTerm(in.nonNegativeInt("logTerm"))
               .setLastLogIndex(in.number("logIndex"))
-              .setSticky(in.truth("sticky"))
+              .setSticky(in.bool("sticky"))
               .build();
       case "voted" ->
           MODELS
@@ -165,7 +165,7 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setGranted(in.truth("granted"))
+              .setGranted(in.bool("granted"))
               .build();
       case "elect" ->
           MODELS
@@ -173,7 +173,7 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setLastLogTerm(in.count("logTerm"))
+              .setLastLogTerm(in.nonNegativeInt("logTerm"))
               .setLastLogIndex(in.number("logIndex"))
               .build();
       case "install" -> install(in, group, sender, term);
@@ -184,7 +184,7 @@
               .setSender(sender)
               .setTerm(term)
               .setSnapshotIndex(in.number("snapshot"))
-              .setRequestedSnapshotChunkIndex(in.count("piece"))
+              .setRequestedSnapshotChunkIndex(in.nonNegativeInt("piece"))
               .setQuerySequenceNumber(in.number("query"))
               .setFlowControlSequenceNumber(in.number("flow"))
               .build();
@@ -203,7 +203,7 @@
         .setGroupId(group)
         .setSender(sender)
         .setTerm(term)
-        .setPreviousLogTerm(in.count("logTerm"))
+        .setPreviousLogTerm(in.nonNegativeInt("logTerm"))
         .setPreviousLogIndex(in.number("logIndex"))
         .setCommitIndex(in.number("commit"))
         .setLogEntries(entries)
@@ -214,7 +214,7 @@
 
   private static RaftMessage install(Fields in, Object group, RaftEndpoint sender, int term)
       throws MalformedException {
-    int snapshotTerm = in.count("logTerm");
+    int snapshotTerm = in.nonNegativeInt("logTerm");
     long snapshotIndex = in.number("logIndex");
     SnapshotChunk piece =
         in.has("piece") ? Operations.chunk(snapshotIndex, snapshotTerm, in.fields("piece")) : null;
@@ -223,10 +223,10 @@
         .setGroupId(group)
         .setSender(sender)
         .setTerm(term)
-        .setSenderLeader(in.truth("fromLeader"))
+        .setSenderLeader(in.bool("fromLeader"))
         .setSnapshotTerm(snapshotTerm)
         .setSnapshotIndex(snapshotIndex)
-        .setTotalSnapshotChunkCount(in.count("pieces"))
+        .setTotalSnapshotChunkCount(in.nonNegativeInt("pieces"))
         .setSnapshotChunk(piece)
         .setSnapshottedMembers(Operations.voters(in.texts("have")))
         .setGroupMembersView(Operations.view(in.fields("view")))
--- a/src/main/java/hazelspoke/agreement/engine/Operations.java
+++ b/src/main/java/hazelspoke/agreement/engine/Operations.java
@@ -47,7 +47,7 @@
     }
     return MODELS
         .createUpdateRaftGroupMembersOpBuilder()
-        .setMode(in.one("change", MembershipChangeMode.class))
+        .setMode(in.enumValue("change", MembershipChangeMode.class))
         .setEndpoint(VoterId.parse(in.text("endpoint")))
         .setMembers(voters(in.texts("members")))
         .setVotingMembers(voters(in.texts("voting")))
@@ -71,7 +71,7 @@
   }
 
   static LogEntry entry(Fields in) throws MalformedException {
-    return entry(in.number("index"), in.count("term"), read(in));
+    return entry(in.number("index"), in.nonNegativeInt("term"), read(in));
   }
 
   /** Of the one piece that a snapshot has here; its index and term stand beside it. */
--- a/src/main/java/hazelspoke/agreement/engine/Turns.java
+++ b/src/main/java/hazelspoke/agreement/engine/Scheduler.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.engine;
 
 /** The one thread that an owner's parts run on, with its clock. */
-public interface Turns {
+public interface Scheduler {
   /** A monotonic clock, in ns; only differences mean anything. */
   long nanos();
 
@@ -9,5 +9,5 @@
   void execute(Runnable what);
 
   /** Runs something after so many ns. */
-  void after(long nanos, Runnable what);
+  void schedule(long nanos, Runnable what);
 }
--- a/src/main/java/hazelspoke/agreement/engine/VoterId.java
+++ b/src/main/java/hazelspoke/agreement/engine/VoterId.java
@@ -8,9 +8,9 @@
  * folder is another voter, so that it can never vote a second time where the first one has voted.
  *
  * @param member its name in the fleet
- * @param home the folder's own name
+ * @param storeId the folder's own name
  */
-public record VoterId(String member, String home) implements RaftEndpoint {
+public record VoterId(String member, String storeId) implements RaftEndpoint {
   @Override
   public Object getId() {
     return toString();
@@ -31,6 +31,6 @@
 
   @Override
   public String toString() {
-    return member + "@" + home;
+    return member + "@" + storeId;
   }
 }
--- a/src/main/java/hazelspoke/agreement/engine/VoterStore.java
+++ b/src/main/java/hazelspoke/agreement/engine/VoterStore.java
@@ -2,7 +2,7 @@
 
 import hazelspoke.agreement.store.Entry;
 import hazelspoke.agreement.store.RecordStore;
-import hazelspoke.agreement.store.Recovered;
+import hazelspoke.agreement.store.RecoveredState;
 import hazelspoke.agreement.store.Snapshot;
 import hazelspoke.agreement.wire.Cbor;
 import hazelspoke.agreement.wire.MalformedException;
@@ -86,7 +86,8 @@
    * @param founders the voters at the beginning
    * @throws MalformedException if an entry is not what an engine has written
    */
-  static RestoredRaftState restore(Recovered from, VoterId self, Collection<RaftEndpoint> founders)
+  static RestoredRaftState restore(
+      RecoveredState from, VoterId self, Collection<RaftEndpoint> founders)
       throws MalformedException {
     if (from.term() == 0 && from.lastIndex() == 0) {
       return null;
@@ -169,7 +170,7 @@
   @Override
   public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
     RaftEndpoint vote = term.getVotedFor();
-    run(() -> store.vote(term.getTerm(), vote == null ? "" : vote.toString()));
+    run(() -> store.saveVote(term.getTerm(), vote == null ? "" : vote.toString()));
   }
 
   @Override
@@ -202,10 +203,10 @@
     run(
         () -> {
           if (conflict) {
-            store.cutFrom(index);
+            store.truncateFrom(index);
             untold.tailSet(index, true).clear();
           }
-          store.snapshot(new Snapshot(index, chunk.getTerm(), data));
+          store.saveSnapshot(new Snapshot(index, chunk.getTerm(), data));
         });
     if (conflict) {
       onConflict.run();
@@ -214,7 +215,7 @@
 
   @Override
   public void truncateLogEntriesFrom(long index) throws IOException {
-    run(() -> store.cutFrom(index));
+    run(() -> store.truncateFrom(index));
     terms.tailMap(index, true).clear();
     untold.tailSet(index, true).clear();
   }
--- a/src/main/java/hazelspoke/agreement/feed/Feed.java
+++ b/src/main/java/hazelspoke/agreement/feed/Feed.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.feed;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.wire.Cbor;
 import hazelspoke.agreement.wire.Fields;
@@ -57,7 +57,7 @@
     private boolean queued;
   }
 
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final FeedSettings pace;
   private final Supplier<FleetRecord> record;
   private final Deque<Kept> kept = new ArrayDeque<>();
@@ -87,11 +87,11 @@
    * @param record as it was applied here up to now; never an older one's than what was pushed but
    *     while the engine catches up with itself after a restart
    */
-  public Feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-    this.turns = turns;
+  public Feed(Scheduler scheduler, FeedSettings pace, Supplier<FleetRecord> record) {
+    this.scheduler = scheduler;
     this.pace = pace;
     this.record = record;
-    earnedAt = turns.nanos();
+    earnedAt = scheduler.nanos();
   }
 
   /** An entry was applied here; those that come again after a restart of the engine are known. */
@@ -130,7 +130,7 @@
   public void follow(String from, Fields in, Consumer<byte[]> back) throws MalformedException {
     long have = in.number("have");
     long of = in.number("of");
-    int offset = in.count("offset");
+    int offset = in.nonNegativeInt("offset");
     Place place = places.get(from);
     if (place == null) {
       if (places.size() >= MOST_FOLLOWERS) {
@@ -140,8 +140,8 @@
       places.put(from, place);
     }
     place.back = back;
-    place.heardAt = turns.nanos();
-    if (place.snapshot != null && place.snapshot.index == of && !in.truth("again")) {
+    place.heardAt = scheduler.nanos();
+    if (place.snapshot != null && place.snapshot.index == of && !in.bool("again")) {
       back.accept(piece(place.snapshot, 0, 0));
       return;
     }
@@ -162,13 +162,13 @@
   private void flushSoon() {
     if (!flushing) {
       flushing = true;
-      turns.after(pace.flushNanos(), this::flush);
+      scheduler.schedule(pace.flushNanos(), this::flush);
     }
   }
 
   private void flush() {
     flushing = false;
-    long now = turns.nanos();
+    long now = scheduler.nanos();
     places.values().removeIf(p -> now - p.heardAt > GONE_AFTER * pace.followNanos() && forget(p));
     Map<Long, Push> shared = new HashMap<>();
     for (Place place : places.values()) {
--- a/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
+++ b/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.feed;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.wire.Cbor;
 import hazelspoke.agreement.wire.Fields;
@@ -49,7 +49,7 @@
   private record Told(String by, long index, long askedAt, long heardAt) {}
 
   private final String self;
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Random random;
   private final FeedSettings pace;
   private final Supplier<List<String>> voters;
@@ -83,13 +83,13 @@
    */
   public FeedSubscriber(
       String self,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       FeedSettings pace,
       Supplier<List<String>> voters,
       Owner owner) {
     this.self = self;
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.random = random;
     this.pace = pace;
     this.voters = voters;
@@ -130,18 +130,18 @@
     if (told.size() == MOST_TOLD) {
       told.removeLast();
     }
-    told.add(new Told(by, index, askedAt, turns.nanos()));
+    told.add(new Told(by, index, askedAt, scheduler.nanos()));
   }
 
   private void again() {
-    turns.after((long) (pace.followNanos() * (0.9 + 0.2 * random.nextDouble())), this::tick);
+    scheduler.schedule((long) (pace.followNanos() * (0.9 + 0.2 * random.nextDouble())), this::tick);
   }
 
   private void tick() {
     if (stopped) {
       return;
     }
-    long now = turns.nanos();
+    long now = scheduler.nanos();
     boolean silent = heardAt - followedAt < 0;
     Told oldest = told.peek();
     if (source == null || silent || !voters.get().contains(source)) {
@@ -177,7 +177,7 @@
     if (source == null) {
       return;
     }
-    followedAt = turns.nanos();
+    followedAt = scheduler.nanos();
     // So that what is heard within this turn counts as later.
     heardAt = followedAt - 1;
     served = false;
@@ -223,7 +223,7 @@
   }
 
   private void heard() {
-    heardAt = turns.nanos();
+    heardAt = scheduler.nanos();
     silences = 0;
   }
 
@@ -239,8 +239,8 @@
     }
     heard();
     long index = in.number("of");
-    int offset = in.count("offset");
-    int total = in.count("total");
+    int offset = in.nonNegativeInt("offset");
+    int total = in.nonNegativeInt("total");
     byte[] bytes = in.bytes("bytes");
     if (bytes.length == 0) {
       served = true;
--- a/src/main/java/hazelspoke/agreement/member/Bootstrap.java
+++ b/src/main/java/hazelspoke/agreement/member/Bootstrap.java
@@ -20,7 +20,7 @@
   Bootstrap(List<String> voters, VoterId self) {
     this.voters = voters;
     this.self = self;
-    heard.put(self.member(), self.home());
+    heard.put(self.member(), self.storeId());
   }
 
   /**
--- a/src/main/java/hazelspoke/agreement/member/Components.java
+++ b/src/main/java/hazelspoke/agreement/member/Components.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.engine.Engine;
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.feed.Feed;
 import hazelspoke.agreement.feed.FeedSettings;
 import hazelspoke.agreement.feed.FeedSubscriber;
@@ -46,18 +46,18 @@
     return FeedSettings.defaults(settings.heartbeatNanos());
   }
 
-  Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-    return new Feed(turns, pace, record);
+  Feed feed(Scheduler scheduler, FeedSettings pace, Supplier<FleetRecord> record) {
+    return new Feed(scheduler, pace, record);
   }
 
   FeedSubscriber follower(
       String self,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       FeedSettings pace,
       Supplier<List<String>> voters,
       FeedSubscriber.Owner owner) {
-    return new FeedSubscriber(self, turns, random, pace, voters, owner);
+    return new FeedSubscriber(self, scheduler, random, pace, voters, owner);
   }
 
   Engine engine(Engine.Setup setup) throws MalformedException {
--- a/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
+++ b/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.member;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.wire.Cbor;
 import hazelspoke.agreement.wire.Fields;
 import hazelspoke.agreement.wire.MalformedException;
@@ -60,7 +60,7 @@
 
   private final String self;
   private final Transport wire;
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Random random;
   private final long patience;
 
@@ -80,12 +80,16 @@
    * @param patienceNanos how long one attempt waits for its answer
    */
   LeaderCalls(
-      MemberSettings settings, Transport wire, Turns turns, Random random, long patienceNanos) {
+      MemberSettings settings,
+      Transport wire,
+      Scheduler scheduler,
+      Random random,
+      long patienceNanos) {
     self = settings.self();
     members = settings.members();
     voters = settings.voters();
     this.wire = wire;
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.random = random;
     this.patience = patienceNanos;
   }
@@ -127,7 +131,7 @@
    * @param forNanos how long it is tried
    */
   CompletableFuture<Reply> call(Map<String, Object> fields, long forNanos) {
-    Call call = new Call(fields, turns.nanos() + forNanos);
+    Call call = new Call(fields, scheduler.nanos() + forNanos);
     if (stopped || open.size() >= MOST) {
       call.result.completeExceptionally(
           new IllegalStateException(stopped ? "the member has stopped" : "too many calls"));
@@ -142,7 +146,7 @@
     if (stopped) {
       return;
     }
-    long now = turns.nanos();
+    long now = scheduler.nanos();
     if (now - call.until >= 0) {
       open.remove(call);
       call.result.completeExceptionally(
@@ -160,7 +164,7 @@
     out.put("number", number);
     out.putAll(call.fields);
     wire.send(call.asked, Cbor.write(out));
-    turns.after(patience, () -> unanswered(number));
+    scheduler.schedule(patience, () -> unanswered(number));
   }
 
   private void unanswered(long number) {
@@ -178,7 +182,7 @@
     // From nothing to a whole patience, more so with each attempt, so that many do not come at
     // once.
     long most = Math.min(patience, (patience / 16) << Math.min(6, call.attempt));
-    turns.after(1 + (long) (random.nextDouble() * most), () -> attempt(++numbers, call));
+    scheduler.schedule(1 + (long) (random.nextDouble() * most), () -> attempt(++numbers, call));
   }
 
   /** Takes an answer. */
@@ -187,7 +191,7 @@
     if (call == null || !call.asked.equals(from)) {
       return;
     }
-    Outcome outcome = in.one("outcome", Outcome.class);
+    Outcome outcome = in.enumValue("outcome", Outcome.class);
     String hint = in.has("leader") ? in.text("leader") : "";
     calls.remove(in.number("number"));
     switch (outcome) {
--- a/src/main/java/hazelspoke/agreement/member/Leadership.java
+++ b/src/main/java/hazelspoke/agreement/member/Leadership.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.engine.Engine;
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.engine.VoterId;
 import hazelspoke.agreement.record.Command;
 import hazelspoke.agreement.record.CommandResult;
@@ -30,7 +30,7 @@
   /** So many calls may wait for a confirmation; further ones are told to come later. */
   private static final int MOST_WAITING = 4_096;
 
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Transport wire;
   private final Member.Listener listener;
   private final SessionLeases terms;
@@ -48,15 +48,15 @@
 
   Leadership(
       MemberSettings settings,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       Transport wire,
       Member.Listener listener,
       Components parts) {
     this.wire = wire;
-    growth = new VoterChanges(settings, random, turns, wire, parts);
+    growth = new VoterChanges(settings, random, scheduler, wire, parts);
     refusalProvesEnd = settings.refusalProvesEnd();
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.listener = listener;
     tickNanos = Math.max(1, settings.leaseNanos() / 20);
     terms = parts.terms(settings, tickNanos);
@@ -75,7 +75,7 @@
 
   void leads(boolean leads) {
     if (leads) {
-      terms.begin(turns.nanos());
+      terms.begin(scheduler.nanos());
     } else {
       growth.ends();
     }
@@ -95,14 +95,14 @@
       return;
     }
     if (leads()) {
-      for (Session session : terms.tick(turns.nanos(), engine.record().sessions())) {
+      for (Session session : terms.tick(scheduler.nanos(), engine.record().sessions())) {
         lapse(session);
       }
       if (refusalProvesEnd && ++ticks % PROBE_TICKS == 0) {
         probe();
       }
     }
-    turns.after(tickNanos, this::tick);
+    scheduler.schedule(tickNanos, this::tick);
   }
 
   /** Whether the silent ones are over: then nobody listens at their ports. */
@@ -123,7 +123,7 @@
   }
 
   private boolean leads() {
-    return engine != null && engine.leads();
+    return engine != null && engine.isLeader();
   }
 
   private void lapse(Session session) {
@@ -179,7 +179,7 @@
                 send.accept(LeaderCalls.Outcome.DONE);
               },
               send);
-      case "voter" -> changeVoter(in.truth("add"), in.text("member"), reply, send);
+      case "voter" -> changeVoter(in.bool("add"), in.text("member"), reply, send);
       default -> throw new MalformedException("unknown call " + in.text("call"));
     }
   }
@@ -231,7 +231,7 @@
         send.accept(LeaderCalls.Outcome.LATER);
         return;
       }
-      terms.renewed(session, turns.nanos());
+      terms.renewed(session, scheduler.nanos());
     }
     reply.put("standing", its ? session.status().name() : "");
     howFar(reply);
@@ -244,7 +244,7 @@
    */
   private void howFar(Map<String, Object> reply) {
     voters(reply);
-    reply.put("index", engine.applied());
+    reply.put("index", engine.appliedIndex());
   }
 
   private void voters(Map<String, Object> reply) {
@@ -300,7 +300,7 @@
     waiting = new ArrayList<>();
     refused = new ArrayList<>();
     engine
-        .confirm()
+        .confirmLeadership()
         .whenComplete(
             (index, failure) -> {
               confirming = false;
--- a/src/main/java/hazelspoke/agreement/member/LocalSession.java
+++ b/src/main/java/hazelspoke/agreement/member/LocalSession.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.member;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.record.Command;
 import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.record.Session.Status;
@@ -30,7 +30,7 @@
   private final MemberSettings settings;
   private final String home;
   private final LeaderCalls calls;
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Random random;
   private final Learner learner;
   private final Member.Listener listener;
@@ -56,7 +56,7 @@
       MemberSettings settings,
       StoreIdentity home,
       LeaderCalls calls,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       Learner learner,
       Member.Listener listener,
@@ -66,7 +66,7 @@
     this.home = home.name();
     life = home.lives() << LIVES_SHIFT;
     this.calls = calls;
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.random = random;
     this.learner = learner;
     this.listener = listener;
@@ -78,7 +78,7 @@
     incarnation = 0;
     renewed = false;
     // A whole fleet may begin with this one.
-    turns.after(1 + (long) (random.nextDouble() * settings.heartbeatNanos()), this::join);
+    scheduler.schedule(1 + (long) (random.nextDouble() * settings.heartbeatNanos()), this::join);
   }
 
   void stop() {
@@ -90,7 +90,7 @@
   }
 
   boolean hasValidLease() {
-    return renewed && !stopped && turns.nanos() - heldUntil < 0;
+    return renewed && !stopped && scheduler.nanos() - heldUntil < 0;
   }
 
   /** Up to where the record has to be known before this life may count as having read it. */
@@ -191,7 +191,7 @@
                 renew();
               } else {
                 listener.event("refused why=\"" + answer.reason() + "\"");
-                turns.after(settings.leaseNanos() / RENEWALS_A_TERM, this::begin);
+                scheduler.schedule(settings.leaseNanos() / RENEWALS_A_TERM, this::begin);
               }
             });
   }
@@ -234,7 +234,7 @@
       return;
     }
     if (standing.equals(Status.THERE.name())) {
-      heldUntil = parts.heldUntil(settings, reply.askedAt(), turns.nanos());
+      heldUntil = parts.heldUntil(settings, reply.askedAt(), scheduler.nanos());
       renewed = true;
       if (!wasHeld && hasValidLease()) {
         wasHeld = true;
@@ -252,7 +252,7 @@
 
   private void later(Runnable what) {
     double part = 0.9 + 0.2 * random.nextDouble();
-    turns.after((long) (settings.leaseNanos() / RENEWALS_A_TERM * part), what);
+    scheduler.schedule((long) (settings.leaseNanos() / RENEWALS_A_TERM * part), what);
   }
 
   CompletableFuture<CommandResult> leave(long forNanos) {
--- a/src/main/java/hazelspoke/agreement/member/Member.java
+++ b/src/main/java/hazelspoke/agreement/member/Member.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.engine.Engine;
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.engine.VoterId;
 import hazelspoke.agreement.feed.Feed;
 import hazelspoke.agreement.feed.FeedSettings;
@@ -44,7 +44,7 @@
   private static final int TELL_EVERY = 20;
 
   private final MemberSettings settings;
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Random random;
   private final Transport wire;
   private final Disk disk;
@@ -74,18 +74,18 @@
   public Member(
       MemberSettings settings,
       Disk disk,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       Transport wire,
       Listener listener)
       throws IOException, WrongDataDirectoryException {
-    this(settings, disk, turns, random, wire, listener, new Components());
+    this(settings, disk, scheduler, random, wire, listener, new Components());
   }
 
   Member(
       MemberSettings settings,
       Disk disk,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       Transport wire,
       Listener listener,
@@ -94,7 +94,7 @@
     this.settings = settings;
     this.parts = parts;
     this.disk = disk;
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.random = random;
     this.wire = wire;
     this.listener = listener;
@@ -107,13 +107,15 @@
       home = StoreIdentity.renew(disk, settings.fleet(), settings.self(), random);
     }
     long patience = 4 * settings.heartbeatNanos();
-    calls = new LeaderCalls(settings, wire, turns, random, patience);
-    session = new LocalSession(settings, home, calls, turns, random, this::learn, listener, parts);
+    calls = new LeaderCalls(settings, wire, scheduler, random, patience);
+    session =
+        new LocalSession(settings, home, calls, scheduler, random, this::learn, listener, parts);
     FeedSettings pace = parts.pace(settings);
-    feed = parts.feed(turns, pace, () -> engine.record());
+    feed = parts.feed(scheduler, pace, () -> engine.record());
     follower =
-        parts.follower(settings.self(), turns, random, pace, calls::voters, new FollowerOwner());
-    leadership = new Leadership(settings, turns, random, wire, listener, parts);
+        parts.follower(
+            settings.self(), scheduler, random, pace, calls::voters, new FollowerOwner());
+    leadership = new Leadership(settings, scheduler, random, wire, listener, parts);
     if (!home.founders().isEmpty()) {
       startEngine();
       watch();
@@ -129,11 +131,11 @@
 
   private void openStore() throws IOException, StoreDamagedException, MalformedException {
     if (!home.founders().isEmpty()) {
-      if (!RecordStore.isIn(disk)) {
+      if (!RecordStore.existsIn(disk)) {
         throw new MalformedException("all segments are missing");
       }
       store = RecordStore.open(disk);
-      long cut = store.recovered().cutBytes();
+      long cut = store.recovered().truncatedBytes();
       if (cut > 0) {
         listener.event("cut torn_bytes=" + cut);
       }
@@ -149,8 +151,8 @@
                   home.voter(),
                   home.founders(),
                   store,
-                  new Engine.Pace(settings.heartbeatNanos(), settings.snapshotEvery()),
-                  turns,
+                  new Engine.Parameters(settings.heartbeatNanos(), settings.snapshotEvery()),
+                  scheduler,
                   random,
                   new EngineOwner()));
       leadership.engine(engine, home.founders());
@@ -172,15 +174,15 @@
     // One that was removed may never hear of it, and has nobody to wait for.
     boolean removed = !calls.voters().contains(settings.self());
     int stuck = parts.stuckHeartbeats() * (removed ? REMOVED_RESTS : 1);
-    long silent = turns.nanos() - engine.leaderHeardAt();
-    if (!engine.leads()
+    long silent = scheduler.nanos() - engine.lastLeaderContactNanos();
+    if (!engine.isLeader()
         && silent > stuck * settings.heartbeatNanos()
         && engine.voters().contains(home.voter())) {
       listener.event("restarts engine leader_silent_ms=" + silent / 1_000_000);
       restartEngine();
     }
     // As often where it was removed: it may be made a voter again meanwhile.
-    turns.after(
+    scheduler.schedule(
         (long) (settings.heartbeatNanos() * parts.stuckHeartbeats() * (0.5 + random.nextDouble())),
         this::watch);
   }
@@ -214,7 +216,7 @@
     if (++asked % TELL_EVERY == 0) {
       listener.event("waits for=founding missing=" + founding.missing());
     }
-    turns.after(
+    scheduler.schedule(
         settings.heartbeatNanos() + (long) (random.nextDouble() * settings.heartbeatNanos()),
         this::askWho);
   }
@@ -269,7 +271,7 @@
 
   private void raft(String from, Fields in) throws MalformedException {
     // What was meant for an earlier voter of this name is not this one's.
-    if (engine != null && in.text("to").equals(home.voter().home())) {
+    if (engine != null && in.text("to").equals(home.voter().storeId())) {
       engine.handle(from, in.bytes("message"));
     }
   }
@@ -401,7 +403,7 @@
 
   /** Whether this member leads, as far as it knows. */
   public boolean isLeader() {
-    return engine != null && engine.leads();
+    return engine != null && engine.isLeader();
   }
 
   /** The engine's record where there is one, else null; for those who judge it from outside. */
@@ -438,7 +440,7 @@
       engine.stop();
     }
     // After the engine, which ends in a turn of its own.
-    turns.execute(this::closeStore);
+    scheduler.execute(this::closeStore);
   }
 
   private void closeStore() {
@@ -471,41 +473,41 @@
   private final class EngineOwner implements Engine.Owner {
     @Override
     public void send(VoterId to, byte[] message) {
-      wire.send(to.member(), Packets.raft(to.home(), message));
+      wire.send(to.member(), Packets.raft(to.storeId(), message));
     }
 
     @Override
-    public void applied(long index, byte[] entry) {
+    public void entryApplied(long index, byte[] entry) {
       feed.applied(index, entry);
       leadership.applied();
     }
 
     @Override
-    public void installed(long index) {
+    public void snapshotInstalled(long index) {
       feed.installed(index);
       leadership.applied();
     }
 
     @Override
-    public void leads(boolean leads, int term) {
-      listener.event((leads ? "leads" : "follows") + " term=" + term);
-      leadership.leads(leads);
-      if (leads) {
+    public void leadershipChanged(boolean isLeader, int term) {
+      listener.event((isLeader ? "leads" : "follows") + " term=" + term);
+      leadership.leads(isLeader);
+      if (isLeader) {
         calls.leads(settings.self());
       }
     }
 
     @Override
-    public void parted(String why) {
-      listener.event("restarts engine why=\"" + why + "\"");
+    public void restartRequired(String reason) {
+      listener.event("restarts engine why=\"" + reason + "\"");
       leadership.leads(false);
       // Not at once, as what has happened may happen again.
-      turns.after(settings.heartbeatNanos(), Member.this::restartEngine);
+      scheduler.schedule(settings.heartbeatNanos(), Member.this::restartEngine);
     }
 
     @Override
-    public void failed(IOException why) {
-      Member.this.failed(why);
+    public void storeFailed(IOException cause) {
+      Member.this.failed(cause);
     }
   }
 }
--- a/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
+++ b/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
@@ -106,14 +106,14 @@
     // The name goes first: without it nothing of the rest is read again.
     if (disk.list().contains(FILE)) {
       disk.rename(FILE, DAMAGED + FILE);
-      disk.syncFolder();
+      disk.syncDirectory();
     }
     for (String file : disk.list()) {
       if (!file.startsWith(DAMAGED)) {
         disk.rename(file, DAMAGED + file);
       }
     }
-    disk.syncFolder();
+    disk.syncDirectory();
     StoreIdentity made = new StoreIdentity(disk, fleet, member, draw(random), List.of(), 1);
     made.write();
     return made;
@@ -169,7 +169,7 @@
       file.sync();
     }
     disk.rename(ASIDE, FILE);
-    disk.syncFolder();
+    disk.syncDirectory();
   }
 
   String name() {
--- a/src/main/java/hazelspoke/agreement/member/VoterChanges.java
+++ b/src/main/java/hazelspoke/agreement/member/VoterChanges.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.engine.Engine;
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.engine.VoterId;
 import hazelspoke.agreement.record.Session;
 import hazelspoke.agreement.record.Session.Status;
@@ -60,7 +60,7 @@
   /** More votes than these bear no loss that matters, and slow every entry. */
   private static final int MOST_VOTERS = 7;
 
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Transport wire;
 
   /** Between two invitations. */
@@ -78,13 +78,17 @@
   private List<VoterId> founders = List.of();
 
   VoterChanges(
-      MemberSettings settings, Random random, Turns turns, Transport wire, Components parts) {
+      MemberSettings settings,
+      Random random,
+      Scheduler scheduler,
+      Transport wire,
+      Components parts) {
     self = settings.self();
     everyNanos = 2 * settings.heartbeatNanos();
     patienceNanos = FILLED_TERMS * settings.leaseNanos();
     this.parts = parts;
     this.random = random;
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.wire = wire;
   }
 
@@ -146,13 +150,14 @@
     invited.put(member, one);
     one.added =
         engine
-            .learn(voter)
+            .addLearner(voter)
             .thenCompose(
                 entry -> {
-                  one.invitation = new StoreIdentity.Invitation(voter.home(), engine.term(), entry);
+                  one.invitation =
+                      new StoreIdentity.Invitation(voter.storeId(), engine.term(), entry);
                   // What it applies are entries; a change of voters, as this was one, is none.
                   one.wanted = engine.record().index();
-                  invite(one, turns.nanos() + patienceNanos);
+                  invite(one, scheduler.nanos() + patienceNanos);
                   return one.filled;
                 })
             .thenCompose(x -> removeOthers(member, voter))
@@ -163,14 +168,14 @@
 
   /** A founder votes under its folder's name, any other under that and some more. */
   private static boolean isOf(VoterId voter, String folder) {
-    return voter.home().equals(folder) || voter.home().startsWith(folder + OF_FOLDER);
+    return voter.storeId().equals(folder) || voter.storeId().startsWith(folder + OF_FOLDER);
   }
 
   private void invite(Invited one, long until) {
     if (one.filled.isDone()) {
       return;
     }
-    if (turns.nanos() - until >= 0) {
+    if (scheduler.nanos() - until >= 0) {
       one.filled.completeExceptionally(
           new NotFilledException(
               one.voter.member() + " was not filled in time; it has no vote yet, ask again"));
@@ -181,7 +186,7 @@
     out.put("founders", founders.stream().map(VoterId::toString).toList());
     one.invitation.write(out);
     wire.send(one.voter.member(), Cbor.write(out));
-    turns.after(everyNanos, () -> invite(one, until));
+    scheduler.schedule(everyNanos, () -> invite(one, until));
   }
 
   /** Hears how far one has the record. */
@@ -203,7 +208,7 @@
     List<VoterId> others =
         engine.voters().stream().filter(v -> !v.member().equals(member)).toList();
     return engine
-        .handOver(others.get(handedOver++ % others.size()))
+        .transferLeadership(others.get(handedOver++ % others.size()))
         .thenRun(
             () -> {
               throw new IllegalStateException("leads no more");
@@ -212,7 +217,7 @@
 
   private CompletableFuture<Void> removeOthers(String member, VoterId but) {
     CompletableFuture<Void> change = CompletableFuture.completedFuture(null);
-    for (VoterId voter : engine.filled()) {
+    for (VoterId voter : engine.votersAndLearners()) {
       if (voter.member().equals(member) && !voter.equals(but)) {
         change = change.thenCompose(x -> engine.remove(voter));
       }
--- a/src/main/java/hazelspoke/agreement/net/LoopTurns.java
+++ b/src/main/java/hazelspoke/agreement/net/EventLoopScheduler.java
@@ -1,15 +1,15 @@
 package hazelspoke.agreement.net;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 
 /** Turns on an event loop. */
-final class LoopTurns implements Turns {
+final class EventLoopScheduler implements Scheduler {
   private final EventLoop loop;
 
-  LoopTurns(EventLoop loop) {
+  EventLoopScheduler(EventLoop loop) {
     this.loop = loop;
   }
 
@@ -28,7 +28,7 @@
   }
 
   @Override
-  public void after(long nanos, Runnable what) {
+  public void schedule(long nanos, Runnable what) {
     try {
       loop.schedule(what, nanos, TimeUnit.NANOSECONDS);
     } catch (RejectedExecutionException e) {
--- a/src/main/java/hazelspoke/agreement/net/FleetNode.java
+++ b/src/main/java/hazelspoke/agreement/net/FleetNode.java
@@ -58,8 +58,8 @@
   private InetSocketAddress address;
   private final AtomicBoolean closed = new AtomicBoolean();
   private volatile boolean joined;
-  private volatile boolean holds;
-  private volatile boolean leads;
+  private volatile boolean hasValidLease;
+  private volatile boolean isLeader;
   private volatile long index;
 
   private FleetNode(
@@ -68,7 +68,7 @@
     this.settings = settings;
     this.log = log;
     this.standing = standing;
-    lock = lock(settings.data());
+    lock = lock(settings.dataDirectory());
     group = shared != null ? null : EventLoops.daemon(THREAD);
     loop = shared != null ? shared : group.next();
     operators = new OperatorCalls(settings);
@@ -86,8 +86,8 @@
    * Begins to belong; the record is read in the background.
    *
    * @param log for lines to operators, from a thread of its own
-   * @param standing is run, on that thread, whenever {@link #hasJoined} or {@link #holds} may have
-   *     changed
+   * @param standing is run, on that thread, whenever {@link #hasJoined} or {@link #hasValidLease}
+   *     may have changed
    * @throws IllegalStateException if it cannot; the message is one line
    */
   public static FleetNode open(FleetSettings settings, Consumer<String> log, Runnable standing) {
@@ -145,8 +145,8 @@
     member =
         new Member(
             settings.member(),
-            new FileDisk(settings.data().resolve("record")),
-            new LoopTurns(loop),
+            new FileDisk(settings.dataDirectory().resolve("record")),
+            new EventLoopScheduler(loop),
             own,
             peers,
             new Member.Listener() {
@@ -170,13 +170,13 @@
     if (member == null) {
       return;
     }
-    leads = member.isLeader();
+    isLeader = member.isLeader();
     index = member.view().record().index();
     boolean nowJoined = joined || member.hasJoined();
-    boolean nowHolds = member.hasValidLease();
-    if (nowJoined != joined || nowHolds != holds) {
+    boolean nowHasValidLease = member.hasValidLease();
+    if (nowJoined != joined || nowHasValidLease != hasValidLease) {
       joined = nowJoined;
-      holds = nowHolds;
+      hasValidLease = nowHasValidLease;
       standing.run();
     }
   }
@@ -204,13 +204,13 @@
   }
 
   /** Whether its session holds; any thread may ask. */
-  public boolean holds() {
-    return holds;
+  public boolean hasValidLease() {
+    return hasValidLease;
   }
 
   /** Whether it leads, as far as it knows; any thread may ask. */
-  public boolean leads() {
-    return leads;
+  public boolean isLeader() {
+    return isLeader;
   }
 
   /** Up to which entry it knows the record; any thread may ask. */
--- a/src/main/java/hazelspoke/agreement/net/Frames.java
+++ b/src/main/java/hazelspoke/agreement/net/FrameHandler.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 /** Whole frames on a connection: four bytes of length, then so many of CBOR. */
-abstract class Frames extends SimpleChannelInboundHandler<ByteBuf> {
+abstract class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
   /** The longest; a record with all that it may hold is shorter. */
   static final int LONGEST_BYTES = 8 << 20;
 
@@ -47,7 +47,7 @@
   private final Counter counter;
 
   /** Its traffic is counted there. */
-  Frames(Counter counter) {
+  FrameHandler(Counter counter) {
     this.counter = counter;
   }
 
--- a/src/main/java/hazelspoke/agreement/net/Hello.java
+++ b/src/main/java/hazelspoke/agreement/net/Greeting.java
@@ -12,7 +12,7 @@
  * @param fleet its name
  * @param member who calls, or who was called; empty for an operator
  */
-record Hello(String fleet, String member) {
+record Greeting(String fleet, String member) {
   /** Counts up with each change that an older program could not read. */
   private static final int VERSION = 1;
 
@@ -24,11 +24,11 @@
     return Cbor.write(out);
   }
 
-  static Hello read(byte[] bytes) throws MalformedException {
+  static Greeting read(byte[] bytes) throws MalformedException {
     Fields in = Cbor.read(bytes);
     if (in.number("pumicetray") != VERSION) {
       throw new MalformedException("version " + in.number("pumicetray") + ", not " + VERSION);
     }
-    return new Hello(in.text("fleet"), in.text("member"));
+    return new Greeting(in.text("fleet"), in.text("member"));
   }
 }
--- a/src/main/java/hazelspoke/agreement/net/OperatorCalls.java
+++ b/src/main/java/hazelspoke/agreement/net/OperatorCalls.java
@@ -61,7 +61,7 @@
                 member.submit(operators(Command.Numbered.read(in.bytes("command"))), patience),
                 back);
         case "voter" ->
-            answer(number, member.changeVoter(in.truth("add"), in.text("member"), patience), back);
+            answer(number, member.changeVoter(in.bool("add"), in.text("member"), patience), back);
         default -> back.accept(failure(number, "unknown question " + in.text("ask")));
       }
     } catch (MalformedException e) {
@@ -110,7 +110,7 @@
     out.put("self", settings.member().self());
     out.put("joined", member.hasJoined());
     out.put("holds", member.hasValidLease());
-    out.put("alone", settings.alone().name());
+    out.put("alone", settings.partitionPolicy().name());
     OptionalLong currentAt = view.currentAsOfNanos();
     out.put(
         "age_ms",
--- a/src/main/java/hazelspoke/agreement/net/OperatorClient.java
+++ b/src/main/java/hazelspoke/agreement/net/OperatorClient.java
@@ -39,8 +39,8 @@
       socket.setSoTimeout(CONNECT_MS);
       in = new DataInputStream(socket.getInputStream());
       out = new DataOutputStream(socket.getOutputStream());
-      write(new Hello(fleet, "").bytes());
-      Hello said = Hello.read(read());
+      write(new Greeting(fleet, "").bytes());
+      Greeting said = Greeting.read(read());
       if (!said.fleet().equals(fleet)) {
         throw new IOException("that is " + said.member() + " of " + said.fleet());
       }
@@ -109,7 +109,7 @@
       while (answer.number("number") != number) {
         answer = Cbor.read(read());
       }
-      if (!answer.truth("ok")) {
+      if (!answer.bool("ok")) {
         throw new IOException(answer.text("why"));
       }
       return answer;
@@ -126,7 +126,7 @@
 
   private byte[] read() throws IOException {
     int length = in.readInt();
-    if (length < 0 || length > Frames.LONGEST_BYTES) {
+    if (length < 0 || length > FrameHandler.LONGEST_BYTES) {
       throw new IOException("no frame");
     }
     byte[] frame = new byte[length];
--- a/src/main/java/hazelspoke/agreement/net/Peers.java
+++ b/src/main/java/hazelspoke/agreement/net/Peers.java
@@ -60,7 +60,7 @@
   private final Map<String, InetSocketAddress> addresses;
   private final Random random;
   private final Inbox inbox;
-  private final Frames.Counter counter = new Frames.Counter();
+  private final FrameHandler.Counter counter = new FrameHandler.Counter();
   private final Map<String, Outgoing> outgoing = new HashMap<>();
   private final Map<String, Channel> incoming = new HashMap<>();
 
@@ -97,7 +97,7 @@
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Frames.WAITING)
+            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, FrameHandler.WAITING)
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -170,7 +170,7 @@
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Frames.WAITING)
+        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, FrameHandler.WAITING)
         .handler(
             new ChannelInitializer<Channel>() {
               @Override
@@ -199,9 +199,9 @@
   }
 
   /** A connection that another opened. */
-  private final class Incoming extends Frames {
+  private final class Incoming extends FrameHandler {
     private final Channel channel;
-    private Hello who;
+    private Greeting who;
 
     Incoming(Channel channel) {
       super(counter);
@@ -221,7 +221,7 @@
 
     private void hello(byte[] packet) {
       try {
-        Hello said = Hello.read(packet);
+        Greeting said = Greeting.read(packet);
         boolean known = said.member().isEmpty() || addresses.containsKey(said.member());
         if (!said.fleet().equals(fleet) || !known) {
           inbox.event(
@@ -231,13 +231,13 @@
                   + said.fleet()
                   + " member="
                   + said.member());
-          write(channel, new Hello(fleet, self).bytes());
+          write(channel, new Greeting(fleet, self).bytes());
           channel.close();
           return;
         }
         who = said;
         allow(channel, said.member().isEmpty() ? LONGEST_CALL_BYTES : LONGEST_BYTES);
-        write(channel, new Hello(fleet, self).bytes());
+        write(channel, new Greeting(fleet, self).bytes());
         if (!said.member().isEmpty()) {
           others.remove(channel);
           Channel before = incoming.put(said.member(), channel);
@@ -261,7 +261,7 @@
   }
 
   /** The connection that this member has opened to another, or opens when there is something. */
-  private final class Outgoing extends Frames {
+  private final class Outgoing extends FrameHandler {
     private final String member;
     private final InetSocketAddress address;
     private final Deque<byte[]> waiting = new ArrayDeque<>();
@@ -313,7 +313,7 @@
         return;
       }
       joins(now);
-      write(now, new Hello(fleet, self).bytes());
+      write(now, new Greeting(fleet, self).bytes());
       // A way that is silent takes the connection and never the greeting.
       loop.schedule(
           () -> {
@@ -338,7 +338,7 @@
         return;
       }
       try {
-        Hello said = Hello.read(packet);
+        Greeting said = Greeting.read(packet);
         if (!said.fleet().equals(fleet) || !said.member().equals(member)) {
           inbox.event(
               "stranger at="
--- a/src/main/java/hazelspoke/agreement/record/CommandResult.java
+++ b/src/main/java/hazelspoke/agreement/record/CommandResult.java
@@ -37,6 +37,6 @@
    * @throws MalformedException for anything else
    */
   public static CommandResult read(Fields in) throws MalformedException {
-    return new CommandResult(in.truth("done"), in.number("number"), in.text("why"));
+    return new CommandResult(in.bool("done"), in.number("number"), in.text("why"));
   }
 }
--- a/src/main/java/hazelspoke/agreement/record/FleetRecord.java
+++ b/src/main/java/hazelspoke/agreement/record/FleetRecord.java
@@ -279,7 +279,7 @@
               s.number("life"),
               s.number("incarnation"),
               s.text("address"),
-              s.one("standing", Status.class),
+              s.enumValue("standing", Status.class),
               s.number("since")));
     }
     for (Fields note : in.list("notes")) {
--- a/src/main/java/hazelspoke/agreement/store/Disk.java
+++ b/src/main/java/hazelspoke/agreement/store/Disk.java
@@ -13,7 +13,7 @@
 
   /**
    * Makes a new, empty file to be appended to. It outlasts a power failure only after {@link
-   * #syncFolder}.
+   * #syncDirectory}.
    *
    * @throws java.nio.file.FileAlreadyExistsException if there is one of this name
    */
@@ -26,7 +26,7 @@
   void delete(String name) throws IOException;
 
   /** Returns once all names made, changed and taken away will outlast a power failure. */
-  void syncFolder() throws IOException;
+  void syncDirectory() throws IOException;
 
   /** A file that is written. */
   interface Output extends AutoCloseable {
--- a/src/main/java/hazelspoke/agreement/store/Entry.java
+++ b/src/main/java/hazelspoke/agreement/store/Entry.java
@@ -11,13 +11,13 @@
  */
 public record Entry(long index, int term, byte[] data) {
   /** The longest that an entry may be, in bytes. */
-  public static final int MOST_BYTES = 1 << 20;
+  public static final int MAX_BYTES = 1 << 20;
 
   /**
    * @throws IllegalArgumentException for an index or term out of its range, or too much data
    */
   public Entry {
-    if (index < 1 || term < 0 || data.length > MOST_BYTES) {
+    if (index < 1 || term < 0 || data.length > MAX_BYTES) {
       throw new IllegalArgumentException(
           "no entry: index " + index + ", term " + term + ", " + data.length + " bytes");
     }
--- a/src/main/java/hazelspoke/agreement/store/FileDisk.java
+++ b/src/main/java/hazelspoke/agreement/store/FileDisk.java
@@ -73,7 +73,7 @@
   }
 
   @Override
-  public void syncFolder() throws IOException {
+  public void syncDirectory() throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true);
     }
--- a/src/main/java/hazelspoke/agreement/store/RecordStore.java
+++ b/src/main/java/hazelspoke/agreement/store/RecordStore.java
@@ -32,7 +32,7 @@
   /** The last index that each closed segment mentions, by its number. */
   private final TreeMap<Long, Long> closed = new TreeMap<>();
 
-  private Recovered recovered;
+  private RecoveredState recovered;
   private int term;
   private String votedFor = "";
   private long snapshotIndex;
@@ -50,7 +50,7 @@
   }
 
   /** Whether a folder holds a store, whole or not. */
-  public static boolean isIn(Disk disk) throws IOException {
+  public static boolean existsIn(Disk disk) throws IOException {
     return disk.list().stream().anyMatch(f -> f.startsWith(SEGMENT) || f.startsWith(SNAPSHOT));
   }
 
@@ -71,7 +71,7 @@
   }
 
   /** What was there at opening. */
-  public Recovered recovered() {
+  public RecoveredState recovered() {
     return recovered;
   }
 
@@ -93,7 +93,7 @@
    * @param newVote empty for nobody yet
    * @throws IllegalArgumentException for a term that has passed, or a second vote in one term
    */
-  public void vote(int newTerm, String newVote) throws IOException {
+  public void saveVote(int newTerm, String newVote) throws IOException {
     boolean second = newTerm == term && !votedFor.isEmpty() && !votedFor.equals(newVote);
     if (newTerm < term || second) {
       throw new IllegalArgumentException(
@@ -125,7 +125,7 @@
    *
    * @throws IllegalArgumentException if the snapshot stands for that one already
    */
-  public void cutFrom(long index) throws IOException {
+  public void truncateFrom(long index) throws IOException {
     if (index <= snapshotIndex) {
       throw new IllegalArgumentException(index + " is in the snapshot up to " + snapshotIndex);
     }
@@ -154,7 +154,7 @@
    *
    * @throws IllegalArgumentException if a later one is there
    */
-  public void snapshot(Snapshot snapshot) throws IOException {
+  public void saveSnapshot(Snapshot snapshot) throws IOException {
     if (snapshot.index() <= snapshotIndex) {
       throw new IllegalArgumentException(snapshot + " after one up to " + snapshotIndex);
     }
@@ -183,7 +183,7 @@
       aside.sync();
     }
     disk.rename(ASIDE + name, name);
-    disk.syncFolder();
+    disk.syncDirectory();
   }
 
   /** Takes away what the snapshot stands for; what is left of it after a crash goes later. */
@@ -196,7 +196,7 @@
         disk.delete(SEGMENT + name(closed.firstKey()));
         closed.pollFirstEntry();
         // One after the other: a segment must not outlast the one before it.
-        disk.syncFolder();
+        disk.syncDirectory();
       }
     } catch (IOException e) {
       throw failed(e);
@@ -240,7 +240,7 @@
             Frame.text(votedFor));
     out.write(head);
     out.sync();
-    disk.syncFolder();
+    disk.syncDirectory();
     written = head.length;
   }
 
@@ -278,12 +278,12 @@
     lastIndex = segments.lastIndex();
     closed.putAll(segments.mentions);
     recovered =
-        new Recovered(
+        new RecoveredState(
             term, votedFor, snapshot, new ArrayList<>(segments.entries.values()), segments.cut);
     for (String empty : segments.headless) {
       disk.delete(empty);
     }
-    disk.syncFolder();
+    disk.syncDirectory();
     if (segments.number > 0) {
       // Read from the system's memory, and perhaps not on the disk: a process that ended before it
       // had synced, or after a sync had failed, leaves pages that count as clean. Written anew,
--- a/src/main/java/hazelspoke/agreement/store/Recovered.java
+++ b/src/main/java/hazelspoke/agreement/store/RecoveredState.java
@@ -8,11 +8,11 @@
  * @param term the latest that its owner has been in; 0 at first
  * @param votedFor whom it voted for in that term; empty for nobody
  * @param entries those after the snapshot, in order
- * @param cutBytes how much of a torn tail was left out at opening
+ * @param truncatedBytes how much of a torn tail was left out at opening
  */
-public record Recovered(
-    int term, String votedFor, Snapshot snapshot, List<Entry> entries, long cutBytes) {
-  public Recovered {
+public record RecoveredState(
+    int term, String votedFor, Snapshot snapshot, List<Entry> entries, long truncatedBytes) {
+  public RecoveredState {
     entries = List.copyOf(entries);
   }
 
--- a/src/main/java/hazelspoke/agreement/store/Snapshot.java
+++ b/src/main/java/hazelspoke/agreement/store/Snapshot.java
@@ -11,7 +11,7 @@
  */
 public record Snapshot(long index, int term, byte[] data) {
   /** The longest that one may be, in bytes. */
-  public static final int MOST_BYTES = 32 << 20;
+  public static final int MAX_BYTES = 32 << 20;
 
   /** Nothing has happened yet. */
   public static final Snapshot NONE = new Snapshot(0, 0, new byte[0]);
@@ -20,7 +20,7 @@
    * @throws IllegalArgumentException for an index or term below 0, or too much data
    */
   public Snapshot {
-    if (index < 0 || term < 0 || data.length > MOST_BYTES) {
+    if (index < 0 || term < 0 || data.length > MAX_BYTES) {
       throw new IllegalArgumentException("no snapshot: index " + index + ", term " + term);
     }
   }
--- a/src/main/java/hazelspoke/agreement/wire/Cbor.java
+++ b/src/main/java/hazelspoke/agreement/wire/Cbor.java
@@ -16,13 +16,14 @@
 /** CBOR to and from maps of text, numbers, booleans, bytes, lists and maps. */
 public final class Cbor {
   /** The most values in one message, so that one byte a value cannot fill the heap. */
-  static final int MOST_VALUES = 50_000;
+  static final int MAX_VALUES = 50_000;
 
-  private static final int DEEPEST = 12;
+  private static final int MAX_NESTING_DEPTH = 12;
 
   private static final CBORFactory FACTORY =
       CBORFactory.builder()
-          .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build())
+          .streamReadConstraints(
+              StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
           .build();
 
   private Cbor() {}
@@ -80,7 +81,7 @@
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         throw new MalformedException("no map");
       }
-      return new Fields(map(parser, new int[] {MOST_VALUES}));
+      return new Fields(map(parser, new int[] {MAX_VALUES}));
     } catch (IOException e) {
       throw new MalformedException("no CBOR: " + e.getMessage());
     }
@@ -99,7 +100,7 @@
 
   private static Object value(JsonParser in, int[] left) throws IOException, MalformedException {
     if (--left[0] < 0) {
-      throw new MalformedException("more than " + MOST_VALUES + " values");
+      throw new MalformedException("more than " + MAX_VALUES + " values");
     }
     JsonToken token = in.currentToken();
     if (token == null) {
--- a/src/main/java/hazelspoke/agreement/wire/Fields.java
+++ b/src/main/java/hazelspoke/agreement/wire/Fields.java
@@ -24,7 +24,7 @@
   }
 
   /** A number from 0 to the highest int. */
-  public int count(String name) throws MalformedException {
+  public int nonNegativeInt(String name) throws MalformedException {
     long number = number(name);
     if (number < 0 || number > Integer.MAX_VALUE) {
       throw new MalformedException(name + " is out of range: " + number);
@@ -36,7 +36,7 @@
     return get(name, String.class);
   }
 
-  public boolean truth(String name) throws MalformedException {
+  public boolean bool(String name) throws MalformedException {
     return get(name, Boolean.class);
   }
 
@@ -71,7 +71,7 @@
   }
 
   /** One of the names of an enum. */
-  public <E extends Enum<E>> E one(String name, Class<E> of) throws MalformedException {
+  public <E extends Enum<E>> E enumValue(String name, Class<E> of) throws MalformedException {
     String text = text(name);
     for (E value : of.getEnumConstants()) {
       if (value.name().equals(text)) {
--- a/src/main/java/hazelspoke/bench/scale/HollowFleet.java
+++ b/src/main/java/hazelspoke/bench/scale/HollowFleet.java
@@ -68,11 +68,11 @@
   }
 
   long in() {
-    return nodes.stream().mapToLong(n -> n.traffic().in()).sum();
+    return nodes.stream().mapToLong(n -> n.traffic().receivedBytes()).sum();
   }
 
   long out() {
-    return nodes.stream().mapToLong(n -> n.traffic().out()).sum();
+    return nodes.stream().mapToLong(n -> n.traffic().sentBytes()).sum();
   }
 
   /**
--- a/src/main/java/hazelspoke/bench/scale/Places.java
+++ b/src/main/java/hazelspoke/bench/scale/Places.java
@@ -69,6 +69,6 @@
         addresses,
         own,
         data,
-        FleetSettings.Alone.SERVE);
+        FleetSettings.PartitionPolicy.SERVE);
   }
 }
--- a/src/main/java/hazelspoke/bench/scale/Voter.java
+++ b/src/main/java/hazelspoke/bench/scale/Voter.java
@@ -58,13 +58,13 @@
   private static Reading reading(FleetNode node, long elections) throws IOException {
     Traffic traffic = node.traffic();
     return new Reading(
-        node.hasJoined() && node.holds(),
-        node.leads(),
+        node.hasJoined() && node.hasValidLease(),
+        node.isLeader(),
         node.index(),
         cpuNanos(List.of(FleetNode.THREAD)),
         ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed(),
-        traffic.in(),
-        traffic.out(),
+        traffic.receivedBytes(),
+        traffic.sentBytes(),
         descriptors(),
         elections);
   }
--- a/src/main/java/hazelspoke/config/OperatorConfig.java
+++ b/src/main/java/hazelspoke/config/OperatorConfig.java
@@ -114,7 +114,7 @@
             (int) in.number("snapshot_every", MemberSettings.DEFAULT_SNAPSHOT_EVERY, 10, 1_000_000),
             in.one("refusal", Refusal.COUNTS) == Refusal.COUNTS);
     InetSocketAddress listen = in.has("listen") ? address(in, "listen") : addresses.get(self);
-    FleetSettings.Alone alone = in.one("alone", FleetSettings.Alone.SERVE);
+    FleetSettings.PartitionPolicy alone = in.one("alone", FleetSettings.PartitionPolicy.SERVE);
     Path data = data(file, in);
     in.noOthers();
     return new FleetSettings(member, addresses, listen, data, alone);
--- a/src/main/java/hazelspoke/node/FleetMembership.java
+++ b/src/main/java/hazelspoke/node/FleetMembership.java
@@ -48,7 +48,8 @@
    */
   static FleetMembership open(FleetSettings settings, Consumer<String> log, Runnable standing) {
     return new FleetMembership(
-        FleetNode.open(settings, log, standing), settings.alone() == FleetSettings.Alone.LEAVE);
+        FleetNode.open(settings, log, standing),
+        settings.partitionPolicy() == FleetSettings.PartitionPolicy.LEAVE);
   }
 
   /** Returns once the record was read, as of now or later; a gateway is not ready before. */
@@ -70,14 +71,14 @@
 
   /** Whether it is to take nobody new, as it is past its term and was told to leave then. */
   boolean isDraining() {
-    return leavesAlone && !node.holds();
+    return leavesAlone && !node.hasValidLease();
   }
 
   /** What operators see of it among the other figures. */
   void registerMetrics(Management management) {
     management.gauge("fleet.joined", () -> node.hasJoined() ? 1 : 0);
-    management.gauge("fleet.holds", () -> node.holds() ? 1 : 0);
-    management.gauge("fleet.leads", () -> node.leads() ? 1 : 0);
+    management.gauge("fleet.holds", () -> node.hasValidLease() ? 1 : 0);
+    management.gauge("fleet.leads", () -> node.isLeader() ? 1 : 0);
     management.gauge("fleet.index", node::index);
   }
 
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulation.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulation.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.feed;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.record.Command;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.wire.Cbor;
@@ -44,18 +44,18 @@
     /** Whether a voter that was deposed pushes what was never agreed on. */
     boolean pushesWhatIsNotAgreedOn;
 
-    Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-      return new Feed(turns, pace, record);
+    Feed feed(Scheduler scheduler, FeedSettings pace, Supplier<FleetRecord> record) {
+      return new Feed(scheduler, pace, record);
     }
 
     FeedSubscriber follower(
         String self,
-        Turns turns,
+        Scheduler scheduler,
         Random random,
         FeedSettings pace,
         Supplier<List<String>> voters,
         FeedSubscriber.Owner owner) {
-      return new FeedSubscriber(self, turns, random, pace, voters, owner);
+      return new FeedSubscriber(self, scheduler, random, pace, voters, owner);
     }
   }
 
@@ -230,7 +230,7 @@
   }
 
   /** A life of a process, whose turns end with it. */
-  private final class Life implements Turns {
+  private final class Life implements Scheduler {
     private boolean over;
 
     @Override
@@ -240,11 +240,11 @@
 
     @Override
     public void execute(Runnable what) {
-      after(0, what);
+      schedule(0, what);
     }
 
     @Override
-    public void after(long nanos, Runnable what) {
+    public void schedule(long nanos, Runnable what) {
       at(
           now + nanos,
           () -> {
@@ -326,7 +326,7 @@
     }
 
     void soon() {
-      life.after(random.nextInt(60) * MS, this::apply);
+      life.schedule(random.nextInt(60) * MS, this::apply);
     }
 
     private void apply() {
@@ -340,7 +340,7 @@
           record.applyEntry(index, own);
           feed.applied(index, own);
         }
-        life.after(late - now, this::apply);
+        life.schedule(late - now, this::apply);
         return;
       }
       while (record.index() < log.size()) {
@@ -422,7 +422,7 @@
       follower =
           mutant.follower(name, life, new Random(random.nextLong()), pace, () -> names, this);
       follower.begin();
-      life.after(random.nextInt(2_500) * MS, this::renewed);
+      life.schedule(random.nextInt(2_500) * MS, this::renewed);
     }
 
     void end() {
@@ -437,7 +437,7 @@
     private void renewed() {
       long askedAt = now;
       long index = log.size();
-      life.after(
+      life.schedule(
           (1 + random.nextInt(20)) * MS,
           () -> {
             follower.told("v" + (VOTERS - 1), index, askedAt);
@@ -446,7 +446,7 @@
               toldAt = now;
             }
           });
-      life.after(2_250 * MS + random.nextInt(500) * MS, this::renewed);
+      life.schedule(2_250 * MS + random.nextInt(500) * MS, this::renewed);
       check();
     }
 
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.feed.FeedSimulation.Mutant;
 import hazelspoke.agreement.feed.FeedSimulation.Outcome;
 import hazelspoke.agreement.record.FleetRecord;
@@ -29,12 +29,12 @@
           @Override
           FeedSubscriber follower(
               String self,
-              Turns turns,
+              Scheduler scheduler,
               Random random,
               FeedSettings pace,
               Supplier<List<String>> v,
               FeedSubscriber.Owner o) {
-            return new FeedSubscriber(self, turns, random, pace, v, o) {
+            return new FeedSubscriber(self, scheduler, random, pace, v, o) {
               @Override
               protected boolean follows(long previous) {
                 return true;
@@ -51,12 +51,12 @@
           @Override
           FeedSubscriber follower(
               String self,
-              Turns turns,
+              Scheduler scheduler,
               Random random,
               FeedSettings pace,
               Supplier<List<String>> v,
               FeedSubscriber.Owner o) {
-            return new FeedSubscriber(self, turns, random, pace, v, o) {
+            return new FeedSubscriber(self, scheduler, random, pace, v, o) {
               @Override
               protected boolean isBehind(long forNanos) {
                 return false;
@@ -79,8 +79,8 @@
       Mutant make() {
         return new Mutant() {
           @Override
-          Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-            return new Feed(turns, pace, record) {
+          Feed feed(Scheduler scheduler, FeedSettings pace, Supplier<FleetRecord> record) {
+            return new Feed(scheduler, pace, record) {
               private byte[] before = {};
 
               @Override
@@ -100,8 +100,8 @@
       Mutant make() {
         return new Mutant() {
           @Override
-          Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-            return new Feed(turns, pace, record) {
+          Feed feed(Scheduler scheduler, FeedSettings pace, Supplier<FleetRecord> record) {
+            return new Feed(scheduler, pace, record) {
               @Override
               protected boolean mayPay(double left) {
                 return true;
--- a/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
+++ b/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.member;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.feed.Feed;
 import hazelspoke.agreement.feed.FeedSettings;
 import hazelspoke.agreement.record.Command;
@@ -80,8 +80,8 @@
     private final TreeSet<Long> entries = new TreeSet<>();
 
     @Override
-    Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-      return new Feed(turns, pace, record) {
+    Feed feed(Scheduler scheduler, FeedSettings pace, Supplier<FleetRecord> record) {
+      return new Feed(scheduler, pace, record) {
         @Override
         public void applied(long index, byte[] entry) {
           super.applied(index, entry);
@@ -616,7 +616,7 @@
   }
 
   /** A life of a process after the other, with a clock of its own. */
-  private final class Process implements Turns {
+  private final class Process implements Scheduler {
     final String name;
     final Map<Process, Link> links = new HashMap<>();
     final double rate;
@@ -873,7 +873,7 @@
     }
 
     @Override
-    public void after(long nanos, Runnable what) {
+    public void schedule(long nanos, Runnable what) {
       at(now + (long) (Math.max(0, nanos) / rate), this, what);
     }
   }
@@ -959,10 +959,10 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
+    public void syncDirectory() throws IOException {
       run(
           () -> {
-            disk.syncFolder();
+            disk.syncDirectory();
             return null;
           });
     }
--- a/src/test/java/hazelspoke/agreement/member/Mutants.java
+++ b/src/test/java/hazelspoke/agreement/member/Mutants.java
@@ -50,7 +50,7 @@
           setup ->
               new Engine(setup) {
                 @Override
-                public CompletableFuture<Long> confirm() {
+                public CompletableFuture<Long> confirmLeadership() {
                   return CompletableFuture.completedFuture(record().index());
                 }
               });
@@ -73,7 +73,7 @@
           setup ->
               new Engine(setup) {
                 @Override
-                protected CompletableFuture<Long> onceApplied(long index) {
+                protected CompletableFuture<Long> verifyApplied(long index) {
                   return CompletableFuture.completedFuture(index);
                 }
               });
@@ -117,7 +117,7 @@
             Engine engine(Engine.Setup setup) throws MalformedException {
               return new Engine(setup) {
                 @Override
-                protected boolean mayAskForVotes() {
+                protected boolean mayRequestVotes() {
                   return true;
                 }
               };
@@ -133,8 +133,8 @@
           setup ->
               new Engine(setup) {
                 @Override
-                protected boolean isLater(int heard) {
-                  return heard > term();
+                protected boolean isLaterTerm(int receivedTerm) {
+                  return receivedTerm > term();
                 }
               });
     }
@@ -274,8 +274,8 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
-      disk.syncFolder();
+    public void syncDirectory() throws IOException {
+      disk.syncDirectory();
     }
   }
 }
--- a/src/test/java/hazelspoke/agreement/net/FleetNodeTest.java
+++ b/src/test/java/hazelspoke/agreement/net/FleetNodeTest.java
@@ -70,7 +70,7 @@
         addresses,
         addresses.get(name),
         data,
-        FleetSettings.Alone.SERVE);
+        FleetSettings.PartitionPolicy.SERVE);
   }
 
   private FleetNode open(String name) {
@@ -85,7 +85,7 @@
 
   private void openAll() throws InterruptedException {
     NAMES.forEach(this::open);
-    await(() -> nodes.values().stream().allMatch(n -> n.hasJoined() && n.holds()));
+    await(() -> nodes.values().stream().allMatch(n -> n.hasJoined() && n.hasValidLease()));
   }
 
   private OperatorClient at(String name) throws IOException {
@@ -125,17 +125,17 @@
     }
     nodes.remove("g1").close();
     nodes.remove("g2").close();
-    await(() -> !nodes.get("g3").holds());
+    await(() -> !nodes.get("g3").hasValidLease());
     try (OperatorClient client = at("g3")) {
       Fields status = client.status();
-      assertThat(status.truth("holds")).isFalse();
+      assertThat(status.bool("holds")).isFalse();
       assertThat(status.list("sessions")).hasSize(3);
       assertThatThrownBy(() -> client.read(500)).isInstanceOf(IOException.class);
     }
     open("g1");
     // A session may be valid before the follower has caught up to the entry that it joined at.
     await(() -> nodes.get("g1").hasJoined());
-    await(() -> nodes.get("g3").holds() && nodes.get("g1").holds());
+    await(() -> nodes.get("g3").hasValidLease() && nodes.get("g1").hasValidLease());
   }
 
   @Test
@@ -227,7 +227,7 @@
     try {
       await(() -> log.stream().anyMatch(l -> l.startsWith("2") && l.contains("belongs to")));
       assertThat(second.hasJoined()).isFalse();
-      assertThat(nodes.get(name).holds()).isTrue();
+      assertThat(nodes.get(name).hasValidLease()).isTrue();
     } finally {
       second.close();
     }
--- a/src/test/java/hazelspoke/agreement/store/RecordStoreTest.java
+++ b/src/test/java/hazelspoke/agreement/store/RecordStoreTest.java
@@ -73,7 +73,7 @@
       Disk of(Disk disk) {
         return new Passing(disk) {
           @Override
-          public void syncFolder() {}
+          public void syncDirectory() {}
         };
       }
     },
@@ -193,20 +193,20 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
-      disk.syncFolder();
+    public void syncDirectory() throws IOException {
+      disk.syncDirectory();
     }
   }
 
   /** Votes, entries, a cut, a snapshot, several segments. */
   private static void fill(RecordStore store) throws IOException {
-    store.vote(3, "g2");
+    store.saveVote(3, "g2");
     for (int i = 1; i <= 12; i++) {
       store.append(new Entry(i, 3, ("entry " + i).getBytes()));
     }
-    store.snapshot(new Snapshot(5, 3, "up to five".getBytes()));
-    store.cutFrom(11);
-    store.vote(4, "g1");
+    store.saveSnapshot(new Snapshot(5, 3, "up to five".getBytes()));
+    store.truncateFrom(11);
+    store.saveVote(4, "g1");
     for (int i = 11; i <= 16; i++) {
       store.append(new Entry(i, 4, ("again " + i).getBytes()));
     }
@@ -220,7 +220,7 @@
     try (RecordStore store = RecordStore.open(disk, 200)) {
       fill(store);
     }
-    Recovered right = RecordStore.open(disk.copy(), 200).recovered();
+    RecoveredState right = RecordStore.open(disk.copy(), 200).recovered();
     assertThat(right.votedFor()).isEqualTo("g1");
     assertThat(right.entries()).hasSize(11);
     int damaged = 0;
@@ -271,11 +271,13 @@
   @Test
   void aSecondVoteInATermAndATermThatHasPassedAreRefused() throws Exception {
     try (RecordStore store = RecordStore.open(new SimDisk(1))) {
-      store.vote(2, "");
-      store.vote(2, "g1");
-      store.vote(2, "g1");
-      assertThatThrownBy(() -> store.vote(2, "g2")).isInstanceOf(IllegalArgumentException.class);
-      assertThatThrownBy(() -> store.vote(1, "g1")).isInstanceOf(IllegalArgumentException.class);
+      store.saveVote(2, "");
+      store.saveVote(2, "g1");
+      store.saveVote(2, "g1");
+      assertThatThrownBy(() -> store.saveVote(2, "g2"))
+          .isInstanceOf(IllegalArgumentException.class);
+      assertThatThrownBy(() -> store.saveVote(1, "g1"))
+          .isInstanceOf(IllegalArgumentException.class);
       assertThatThrownBy(() -> store.append(new Entry(2, 2, new byte[0])))
           .isInstanceOf(IllegalArgumentException.class);
     }
@@ -287,7 +289,7 @@
     try (RecordStore store = RecordStore.open(new FileDisk(data), 200)) {
       fill(store);
     }
-    Recovered before;
+    RecoveredState before;
     try (RecordStore store = RecordStore.open(new FileDisk(data), 200)) {
       before = store.recovered();
       store.append(new Entry(17, 4, new byte[50]));
@@ -303,9 +305,9 @@
     byte[] bytes = Files.readAllBytes(newest);
     Files.write(newest, Arrays.copyOf(bytes, bytes.length - 30));
     try (RecordStore store = RecordStore.open(new FileDisk(data), 200)) {
-      Recovered after = store.recovered();
+      RecoveredState after = store.recovered();
       assertThat(after.entries()).isEqualTo(before.entries());
-      assertThat(after.cutBytes()).isPositive();
+      assertThat(after.truncatedBytes()).isPositive();
       assertThat(after.votedFor()).isEqualTo("g1");
     }
   }
--- a/src/test/java/hazelspoke/agreement/store/SimDisk.java
+++ b/src/test/java/hazelspoke/agreement/store/SimDisk.java
@@ -208,7 +208,7 @@
   }
 
   @Override
-  public void syncFolder() throws IOException {
+  public void syncDirectory() throws IOException {
     call();
     pending.clear();
     lasting = new HashMap<>(names);
--- a/src/test/java/hazelspoke/agreement/store/StoreSimulation.java
+++ b/src/test/java/hazelspoke/agreement/store/StoreSimulation.java
@@ -70,7 +70,7 @@
       }
     }
     openings++;
-    Recovered r = store.recovered();
+    RecoveredState r = store.recovered();
     State found = new State(r.term(), r.votedFor(), r.snapshot(), r.entries());
     if (!possible.contains(found)) {
       throw new AssertionError("found " + found + "; possible were " + possible);
@@ -120,7 +120,7 @@
         int term = now.term() + 1 + random.nextInt(2);
         String vote = random.nextInt(4) == 0 ? "" : "g" + random.nextInt(5);
         becomes(new State(term, vote, now.snapshot(), now.entries()));
-        store.vote(term, vote);
+        store.saveVote(term, vote);
         lasts();
       }
       case 2 -> {
@@ -131,7 +131,7 @@
         long from = now.snapshot().index() + 1 + random.nextInt(now.entries().size() + 2);
         List<Entry> left = now.entries().stream().filter(e -> e.index() < from).toList();
         becomes(new State(now.term(), now.votedFor(), now.snapshot(), left));
-        store.cutFrom(from);
+        store.truncateFrom(from);
       }
       case 4 -> snapshot();
       case 5 -> {
@@ -164,7 +164,7 @@
     Snapshot snapshot = new Snapshot(index, now.term(), data);
     List<Entry> left = now.entries().stream().filter(e -> e.index() > index).toList();
     becomes(new State(now.term(), now.votedFor(), snapshot, left));
-    store.snapshot(snapshot);
+    store.saveSnapshot(snapshot);
     lasts();
   }
 
@@ -175,7 +175,7 @@
       try {
         switch (i) {
           case 0 -> store.sync();
-          case 1 -> store.vote(now.term() + 9, "g9");
+          case 1 -> store.saveVote(now.term() + 9, "g9");
           default -> store.append(new Entry(store.lastIndex() + 1, 1, new byte[1]));
         }
         throw new AssertionError("a store that has failed goes on");
--- a/src/test/java/hazelspoke/agreement/wire/CborTest.java
+++ b/src/test/java/hazelspoke/agreement/wire/CborTest.java
@@ -32,7 +32,7 @@
     assertThat(in.number("n")).isEqualTo(Long.MIN_VALUE);
     assertThat(in.text("t")).isEqualTo("é");
     assertThat(in.bytes("b")).containsExactly(1, 2);
-    assertThat(in.list("l").get(0).count("x")).isEqualTo(1);
+    assertThat(in.list("l").get(0).nonNegativeInt("x")).isEqualTo(1);
     assertThat(in.texts("s")).containsExactly("a", "b");
     assertThatThrownBy(() -> in.text("n")).isInstanceOf(MalformedException.class);
     assertThatThrownBy(() -> in.number("absent")).isInstanceOf(MalformedException.class);
@@ -61,7 +61,7 @@
   void neitherDepthNorNumberFillsTheHeap() {
     ByteArrayOutputStream many = new ByteArrayOutputStream();
     many.writeBytes(new byte[] {(byte) 0xBF, 0x61, 'a', (byte) 0x9F});
-    many.writeBytes(new byte[Cbor.MOST_VALUES + 1]);
+    many.writeBytes(new byte[Cbor.MAX_VALUES + 1]);
     assertThatThrownBy(() -> Cbor.read(many.toByteArray()))
         .isInstanceOf(MalformedException.class)
         .hasMessageContaining("values");
--- a/src/test/java/hazelspoke/config/OperatorConfigTest.java
+++ b/src/test/java/hazelspoke/config/OperatorConfigTest.java
@@ -74,8 +74,8 @@
   void whatIsLeftOutTakesADefaultAndAnEmptyFileIsNoFleet() throws Exception {
     FleetSettings fleet = read(GOOD, Map.of()).fleet();
     assertThat(fleet.listen().getPort()).isEqualTo(2);
-    assertThat(fleet.data()).isEqualTo(folder.resolve("data"));
-    assertThat(fleet.alone()).isEqualTo(FleetSettings.Alone.SERVE);
+    assertThat(fleet.dataDirectory()).isEqualTo(folder.resolve("data"));
+    assertThat(fleet.partitionPolicy()).isEqualTo(FleetSettings.PartitionPolicy.SERVE);
     assertThat(fleet.member().leaseNanos()).isEqualTo(TimeUnit.SECONDS.toNanos(10));
     assertThat(fleet.member().refusalProvesEnd()).isTrue();
     assertThat(read("", Map.of()).fleet()).isNull();
--- a/src/test/java/hazelspoke/node/PartitionedMemberTest.java
+++ b/src/test/java/hazelspoke/node/PartitionedMemberTest.java
@@ -5,7 +5,7 @@
 import hazelspoke.agreement.member.MemberSettings;
 import hazelspoke.agreement.net.FleetNode;
 import hazelspoke.agreement.net.FleetSettings;
-import hazelspoke.agreement.net.FleetSettings.Alone;
+import hazelspoke.agreement.net.FleetSettings.PartitionPolicy;
 import hazelspoke.net.Transport;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -34,7 +34,7 @@
   @TempDir private Path folder;
   private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
 
-  private FleetSettings settings(String name, Alone alone) {
+  private FleetSettings settings(String name, PartitionPolicy alone) {
     MemberSettings member =
         new MemberSettings(
             "f",
@@ -51,7 +51,7 @@
   }
 
   private FleetNode open(String name) {
-    return FleetNode.open(settings(name, Alone.SERVE), line -> {}, () -> {});
+    return FleetNode.open(settings(name, PartitionPolicy.SERVE), line -> {}, () -> {});
   }
 
   private static String call(InetSocketAddress at, String request) {
@@ -69,8 +69,8 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Alone.class)
-  void itGoesOnOrTakesNobodyNewAndIsBackWhenItHearsThem(Alone alone) throws Exception {
+  @EnumSource(PartitionPolicy.class)
+  void itGoesOnOrTakesNobodyNewAndIsBackWhenItHearsThem(PartitionPolicy alone) throws Exception {
     for (String name : NAMES) {
       InetAddress own = InetAddress.getByName("127.85.3." + name.substring(1));
       try (ServerSocket free = new ServerSocket(0, 1, own)) {
@@ -103,7 +103,7 @@
         others.forEach(FleetNode::close);
         others.clear();
         Rig.await("alone", () -> get(operators, "/_vars").contains("svc.fleet.holds=0"));
-        boolean serves = alone == Alone.SERVE;
+        boolean serves = alone == PartitionPolicy.SERVE;
         Rig.await("told", () -> get(operators, "/_ready").contains("200") == serves);
         String answer = call(clients, Rig.dispatch(Rig.id(), ""));
         // What comes all the same is served either way, and told to go elsewhere next.
