--- a/src/main/java/hazelspoke/core/Attempt.java
+++ b/src/main/java/hazelspoke/core/Attempt.java
@@ -6,11 +6,11 @@
  * One attempt of a request at one host: started once, ended once, and cancelled where it may no
  * longer go out. Becomes due when it has timed out. On the loop.
  */
-final class Attempt extends Deadlines.Entry implements HostCall {
+final class Attempt extends DeadlineQueue.Entry implements HostCall {
   /** Told what becomes of attempts. */
   interface Listener {
     /** A host's whole answer has come; its request may have ended meanwhile. */
-    void onHostAnswer(Exchange x, Answer answer);
+    void onHostAnswer(Exchange exchange, Answer answer);
 
     /**
      * The attempt has ended, in whatever way.
@@ -22,46 +22,47 @@
 
   private final CoreServices services;
   private final Listener listener;
-  private final Exchange x;
+  private final Exchange exchange;
   private final String host;
-  private final int number;
-  private final double startedAt;
-  private final double lostBefore;
+  private final int index;
+  private final double startedAtMs;
+  private final double lagAtStartMs;
 
   /** Until when it may be written, on the clock. */
-  private final double beginBy;
+  private final double sendByMs;
 
-  private HostTransport.CallHandle ticket;
-  private boolean over;
+  private HostTransport.CallHandle callHandle;
+  private boolean ended;
 
   /** Whether its last byte went out, whatever became of it. */
-  private boolean wasSent;
+  private boolean isFullySent;
 
   /** Whether its host may have run it, or may yet. */
-  private boolean mayRun = true;
+  private boolean mayHaveRun = true;
 
   /** Of a request that was not whole: how long its host waited for the last byte. */
   private double uploadMs;
 
   /** The next attempt of a request, which keeps count of them. */
-  Attempt(CoreServices services, Listener listener, Exchange x, String host, double beginBy) {
+  Attempt(
+      CoreServices services, Listener listener, Exchange exchange, String host, double sendByMs) {
     this.services = services;
     this.listener = listener;
-    this.x = x;
+    this.exchange = exchange;
     this.host = host;
-    this.beginBy = beginBy;
-    number = x.attempts.size();
-    startedAt = services.clock().nowMs();
-    lostBefore = services.lag().lostMs();
+    this.sendByMs = sendByMs;
+    index = exchange.attempts.size();
+    startedAtMs = services.clock().nowMs();
+    lagAtStartMs = services.lag().totalLagMs();
   }
 
   void start(double timeoutMs) {
-    limit(timeoutMs);
-    ticket = services.hosts().start(host, this);
+    setTimeout(timeoutMs);
+    callHandle = services.hosts().start(host, this);
   }
 
   Exchange exchange() {
-    return x;
+    return exchange;
   }
 
   String host() {
@@ -69,116 +70,117 @@
   }
 
   /** Its place among the attempts of its request, from 0. */
-  int number() {
-    return number;
+  int index() {
+    return index;
   }
 
   /** When it was started, on the clock. */
-  double startedAt() {
-    return startedAt;
+  double startedAtMs() {
+    return startedAtMs;
   }
 
   /** Since its start, in milliseconds. */
   double elapsedMs() {
-    return services.clock().nowMs() - startedAt;
+    return services.clock().nowMs() - startedAtMs;
   }
 
   /** What of the time since its start was this gateway's or its client's, in milliseconds. */
-  double ownMs() {
-    return Math.max(uploadMs, services.lag().lostMs() - lostBefore);
+  double gatewayDelayMs() {
+    return Math.max(uploadMs, services.lag().totalLagMs() - lagAtStartMs);
   }
 
-  boolean wasSent() {
-    return wasSent;
+  boolean isFullySent() {
+    return isFullySent;
   }
 
-  boolean mayRun() {
-    return mayRun;
+  boolean mayHaveRun() {
+    return mayHaveRun;
   }
 
   /** Times out so long from now on; never while the request is still coming. */
-  void limit(double timeoutMs) {
-    if (!over && timeoutMs < Double.POSITIVE_INFINITY) {
+  void setTimeout(double timeoutMs) {
+    if (!ended && timeoutMs < Double.POSITIVE_INFINITY) {
       services.timers().remove(this);
       services.timers().add(this, timeoutMs);
     }
   }
 
   @Override
-  void due() {
+  void onDue() {
     // Given up before its last byte was written, it never ran.
-    Result result = ticket.isLastByteSent() ? Result.TIMEOUT : Result.CONNECT_FAILED;
-    ticket.cancel();
+    Result result = callHandle.isLastByteSent() ? Result.TIMEOUT : Result.CONNECT_FAILED;
+    callHandle.cancel();
     end(result, "");
   }
 
   /** Cancels it if nothing of it has been written: it never ran, and that is no host's fault. */
-  void cancelIfNotBegun() {
-    if (!over && ticket != null && !ticket.isFirstByteSent()) {
-      ticket.cancel();
-      endUnsent();
+  void cancelIfFirstByteUnsent() {
+    if (!ended && callHandle != null && !callHandle.isFirstByteSent()) {
+      callHandle.cancel();
+      endNotSent();
     }
   }
 
   /** Cancels it if its last byte has not been written. */
-  void cancelIfNotSent() {
-    if (ticket != null && !over && !ticket.isLastByteSent()) {
-      cancelSoon();
+  void cancelIfLastByteUnsent() {
+    if (callHandle != null && !ended && !callHandle.isLastByteSent()) {
+      cancelAsync();
     }
   }
 
   /** Cancels it at once as far as its host is concerned; its end is told on a later turn. */
-  void cancelSoon() {
+  void cancelAsync() {
     services.loop().execute(this::cancel);
-    giveUp();
+    cancelCall();
   }
 
   void cancel() {
-    if (!over) {
-      giveUp();
+    if (!ended) {
+      cancelCall();
       end(Result.CANCELLED, "");
     }
   }
 
-  private void giveUp() {
-    if (ticket != null && !over) {
-      ticket.cancel();
+  private void cancelCall() {
+    if (callHandle != null && !ended) {
+      callHandle.cancel();
     }
   }
 
   /** It was not started, or not written. */
-  void endUnsent() {
+  void endNotSent() {
     end(Result.NOT_SENT, "");
   }
 
   @Override
   public boolean maySendFirstByte() {
-    return services.guard().mayBegin(x, beginBy) == SendGuard.Verdict.ALLOWED;
+    return services.guard().checkFirstByte(exchange, sendByMs) == SendGuard.Verdict.ALLOWED;
   }
 
   @Override
   public boolean maySendLastByte() {
-    return services.guard().mayFinish(x, beginBy) == SendGuard.Verdict.ALLOWED;
+    return services.guard().checkLastByte(exchange, sendByMs) == SendGuard.Verdict.ALLOWED;
   }
 
   @Override
   public Request request() {
-    return x.request();
+    return exchange.request();
   }
 
   @Override
   public double remainingMs() {
-    double leftMs = Math.max(0, x.patienceMs(services.clock().nowMs()));
-    double told = leftMs < Double.POSITIVE_INFINITY ? leftMs : x.request().remainingMs();
-    services.guard().onTold(x, told);
-    return told;
+    double timeoutMs = Math.max(0, exchange.attemptTimeoutMs(services.clock().nowMs()));
+    double reportedMs =
+        timeoutMs < Double.POSITIVE_INFINITY ? timeoutMs : exchange.request().remainingMs();
+    services.guard().checkReportedTime(exchange, reportedMs);
+    return reportedMs;
   }
 
   @Override
   public void onSent() {
-    wasSent = true;
-    services.guard().onSent(x);
-    Request request = x.request();
+    isFullySent = true;
+    services.guard().checkSent(exchange);
+    Request request = exchange.request();
     if (request != null && request.body().remainder() != null) {
       uploadMs = elapsedMs();
     }
@@ -187,7 +189,7 @@
 
   @Override
   public void onAnswer(Metadata metadata, String loadReport, Body body, ByteBudget.Share share) {
-    listener.onHostAnswer(x, Answer.served(metadata, body, share));
+    listener.onHostAnswer(exchange, Answer.served(metadata, body, share));
     end(Result.OK, loadReport);
   }
 
@@ -197,11 +199,11 @@
   }
 
   private void end(Result result, String loadReport) {
-    if (over) {
+    if (ended) {
       return;
     }
-    over = true;
-    mayRun = !result.neverRan();
+    ended = true;
+    mayHaveRun = !result.neverRan();
     services.timers().remove(this);
     listener.onAttemptEnded(this, result, loadReport);
   }
--- a/src/main/java/hazelspoke/core/Body.java
+++ b/src/main/java/hazelspoke/core/Body.java
@@ -31,12 +31,12 @@
   /** The length of a body whose sender has not told it. */
   public static final long UNKNOWN_LENGTH = -1;
 
-  private static final int FIRST_BYTES = 512;
+  private static final int INITIAL_CHUNK_BYTES = 512;
   private static final int CHUNK_BYTES = 65_536;
 
-  private final List<byte[]> full = new ArrayList<>();
-  private byte[] last = new byte[0];
-  private int lastLength;
+  private final List<byte[]> fullChunks = new ArrayList<>();
+  private byte[] lastChunk = new byte[0];
+  private int lastChunkLength;
   private BodyStream remainder;
   private long totalLength;
 
@@ -45,9 +45,9 @@
    *
    * @param whole the length of all of it in bytes, or {@link #UNKNOWN_LENGTH}
    */
-  public void setRemainder(BodyStream more, long whole) {
-    remainder = more;
-    totalLength = whole;
+  public void setRemainder(BodyStream stream, long bodyLength) {
+    remainder = stream;
+    totalLength = bodyLength;
   }
 
   /** What comes behind what is held; null when that is all. */
@@ -67,9 +67,9 @@
 
   /** What is held has been written, and will not be again. */
   public void releaseBuffered() {
-    full.clear();
-    last = new byte[0];
-    lastLength = 0;
+    fullChunks.clear();
+    lastChunk = new byte[0];
+    lastChunkLength = 0;
   }
 
   /** Nobody wants it: the rest, if there is one, need not come. */
@@ -81,43 +81,43 @@
 
   /** What is held, in bytes. */
   public long bufferedLength() {
-    return (long) full.size() * CHUNK_BYTES + lastLength;
+    return (long) fullChunks.size() * CHUNK_BYTES + lastChunkLength;
   }
 
   public void append(ByteBuf bytes) {
     while (bytes.isReadable()) {
-      if (lastLength == CHUNK_BYTES) {
-        full.add(last);
-        last = new byte[0];
-        lastLength = 0;
+      if (lastChunkLength == CHUNK_BYTES) {
+        fullChunks.add(lastChunk);
+        lastChunk = new byte[0];
+        lastChunkLength = 0;
       }
-      int wanted = Math.min(CHUNK_BYTES, lastLength + bytes.readableBytes());
-      if (wanted > last.length) {
-        int size = Math.max(wanted, Math.max(FIRST_BYTES, 2 * last.length));
-        last = Arrays.copyOf(last, Math.min(CHUNK_BYTES, size));
+      int newLength = Math.min(CHUNK_BYTES, lastChunkLength + bytes.readableBytes());
+      if (newLength > lastChunk.length) {
+        int size = Math.max(newLength, Math.max(INITIAL_CHUNK_BYTES, 2 * lastChunk.length));
+        lastChunk = Arrays.copyOf(lastChunk, Math.min(CHUNK_BYTES, size));
       }
-      bytes.readBytes(last, lastLength, wanted - lastLength);
-      lastLength = wanted;
+      bytes.readBytes(lastChunk, lastChunkLength, newLength - lastChunkLength);
+      lastChunkLength = newLength;
     }
   }
 
   /** A short body as text. */
   public String text() {
-    return new String(last, 0, lastLength, StandardCharsets.UTF_8);
+    return new String(lastChunk, 0, lastChunkLength, StandardCharsets.UTF_8);
   }
 
   /** Writes all of it there. */
   public void copyTo(ByteBuf to) {
-    full.forEach(to::writeBytes);
-    to.writeBytes(last, 0, lastLength);
+    fullChunks.forEach(to::writeBytes);
+    to.writeBytes(lastChunk, 0, lastChunkLength);
   }
 
   /** At most {@code most} bytes from {@code offset} on, not copied. */
-  public ByteBuf slice(long offset, int most) {
+  public ByteBuf slice(long offset, int maxBytes) {
     int chunk = (int) (offset / CHUNK_BYTES);
     int from = (int) (offset % CHUNK_BYTES);
-    byte[] bytes = chunk < full.size() ? full.get(chunk) : last;
-    int end = chunk < full.size() ? CHUNK_BYTES : lastLength;
-    return Unpooled.wrappedBuffer(bytes, from, Math.min(most, end - from));
+    byte[] bytes = chunk < fullChunks.size() ? fullChunks.get(chunk) : lastChunk;
+    int end = chunk < fullChunks.size() ? CHUNK_BYTES : lastChunkLength;
+    return Unpooled.wrappedBuffer(bytes, from, Math.min(maxBytes, end - from));
   }
 }
--- a/src/main/java/hazelspoke/core/BodyStream.java
+++ b/src/main/java/hazelspoke/core/BodyStream.java
@@ -20,7 +20,7 @@
   /** Who reads the bytes. */
   public interface Source {
     /** Whether to read on. Repeating what holds already does nothing. */
-    void setReading(boolean on);
+    void setReading(boolean enabled);
 
     /** A sink has attached: what was held ahead of this is written and needed no more. */
     default void onAttached() {}
@@ -42,13 +42,13 @@
   }
 
   private final Source source;
-  private final Deque<byte[]> waiting = new ArrayDeque<>();
-  private int waitingBytes;
+  private final Deque<byte[]> pending = new ArrayDeque<>();
+  private int pendingBytes;
   private Sink sink;
-  private boolean ready;
-  private boolean ended;
-  private boolean failed;
-  private boolean over;
+  private boolean sinkReady;
+  private boolean sourceEnded;
+  private boolean sourceFailed;
+  private boolean done;
 
   /** One from this source, whose reading goes on until it is told otherwise. */
   public BodyStream(Source source) {
@@ -62,31 +62,31 @@
 
   /** More bytes have come. */
   public void offer(byte[] bytes) {
-    if (over || bytes.length == 0) {
+    if (done || bytes.length == 0) {
       return;
     }
-    waiting.add(bytes);
-    waitingBytes += bytes.length;
-    hand();
-    if (waitingBytes > MAX_PENDING_BYTES) {
+    pending.add(bytes);
+    pendingBytes += bytes.length;
+    deliver();
+    if (pendingBytes > MAX_PENDING_BYTES) {
       source.setReading(false);
     }
   }
 
   /** No more will come: that was all of it. */
   public void end() {
-    ended = true;
-    hand();
+    sourceEnded = true;
+    deliver();
   }
 
   /** The rest will not come. */
   public void fail() {
-    if (over || ended) {
+    if (done || sourceEnded) {
       return;
     }
-    failed = true;
-    waiting.clear();
-    hand();
+    sourceFailed = true;
+    pending.clear();
+    deliver();
   }
 
   /**
@@ -94,51 +94,51 @@
    *
    * @throws IllegalStateException if there was one before
    */
-  public void attach(Sink first) {
+  public void attach(Sink newSink) {
     if (sink != null) {
       throw new IllegalStateException("this has gone elsewhere already");
     }
-    sink = first;
+    sink = newSink;
     source.onAttached();
     pull();
   }
 
   /** The sink can take more. */
   public void pull() {
-    ready = true;
-    hand();
-    if (!over && !ended && waitingBytes <= MAX_PENDING_BYTES) {
+    sinkReady = true;
+    deliver();
+    if (!done && !sourceEnded && pendingBytes <= MAX_PENDING_BYTES) {
       source.setReading(true);
     }
   }
 
   /** The sink wants no more, or nobody will ever attach; the source is told. */
   public void abandon() {
-    if (!over) {
-      over = true;
-      waiting.clear();
-      waitingBytes = 0;
+    if (!done) {
+      done = true;
+      pending.clear();
+      pendingBytes = 0;
       source.onAbandoned();
     }
   }
 
-  private void hand() {
-    if (sink == null || over) {
+  private void deliver() {
+    if (sink == null || done) {
       return;
     }
-    while (ready && !waiting.isEmpty()) {
-      byte[] next = waiting.poll();
-      waitingBytes -= next.length;
-      ready = sink.write(next);
+    while (sinkReady && !pending.isEmpty()) {
+      byte[] next = pending.poll();
+      pendingBytes -= next.length;
+      sinkReady = sink.write(next);
     }
-    if (over) {
+    if (done) {
       return;
     }
-    if (failed) {
-      over = true;
+    if (sourceFailed) {
+      done = true;
       sink.onTruncated();
-    } else if (ended && waiting.isEmpty()) {
-      over = true;
+    } else if (sourceEnded && pending.isEmpty()) {
+      done = true;
       sink.onComplete();
     }
   }
--- a/src/main/java/hazelspoke/core/ByteBudget.java
+++ b/src/main/java/hazelspoke/core/ByteBudget.java
@@ -10,13 +10,13 @@
  * next one in line takes its place: no deadlock, and never more than both together.
  */
 public final class ByteBudget {
-  private final long generalBytes;
-  private final Deque<Share> waiting = new ArrayDeque<>();
+  private final long poolBytes;
+  private final Deque<Share> pausedShares = new ArrayDeque<>();
   private long usedBytes;
-  private Share inReserve;
+  private Share reserveHolder;
 
-  public ByteBudget(long generalBytes) {
-    this.generalBytes = generalBytes;
+  public ByteBudget(long poolBytes) {
+    this.poolBytes = poolBytes;
   }
 
   /** What all hold now, in bytes; what is in the reserve comes on top. */
@@ -26,77 +26,77 @@
 
   /** Whether less than half of it is used. */
   public boolean hasHeadroom() {
-    return usedBytes < generalBytes / 2;
+    return usedBytes < poolBytes / 2;
   }
 
   /** A holder's part; {@code mayGoOn} is run when it was paused and there is room again. */
-  public Share share(Runnable mayGoOn) {
-    return new Share(mayGoOn);
+  public Share share(Runnable resume) {
+    return new Share(resume);
   }
 
-  private void wakeWaiting() {
-    while (!waiting.isEmpty()) {
-      if (usedBytes > generalBytes && inReserve != null) {
+  private void resumePaused() {
+    while (!pausedShares.isEmpty()) {
+      if (usedBytes > poolBytes && reserveHolder != null) {
         return;
       }
-      Share next = waiting.poll();
-      if (usedBytes > generalBytes) {
+      Share next = pausedShares.poll();
+      if (usedBytes > poolBytes) {
         enterReserve(next);
       }
       next.paused = false;
-      next.mayGoOn.run();
+      next.resume.run();
     }
   }
 
   private void enterReserve(Share share) {
-    inReserve = share;
+    reserveHolder = share;
     usedBytes -= share.heldBytes;
   }
 
   /** What one body or answer holds. */
   public final class Share {
-    private final Runnable mayGoOn;
+    private final Runnable resume;
     private long heldBytes;
     private boolean paused;
 
-    private Share(Runnable mayGoOn) {
-      this.mayGoOn = mayGoOn;
+    private Share(Runnable resume) {
+      this.resume = resume;
     }
 
     /** Counts bytes that have come; false asks the holder to read no more until it is told. */
     public boolean add(long bytes) {
       heldBytes += bytes;
-      if (inReserve == this) {
+      if (reserveHolder == this) {
         return true;
       }
       usedBytes += bytes;
-      if (usedBytes <= generalBytes && !paused) {
+      if (usedBytes <= poolBytes && !paused) {
         return true;
       }
-      if (inReserve == null && waiting.isEmpty()) {
+      if (reserveHolder == null && pausedShares.isEmpty()) {
         enterReserve(this);
         return true;
       }
       if (!paused) {
         paused = true;
-        waiting.add(this);
+        pausedShares.add(this);
       }
       return false;
     }
 
     /** Gives back all that is held. */
     public void release() {
-      if (inReserve == this) {
-        inReserve = null;
+      if (reserveHolder == this) {
+        reserveHolder = null;
       } else {
         usedBytes -= heldBytes;
       }
       heldBytes = 0;
       if (paused) {
         paused = false;
-        waiting.remove(this);
+        pausedShares.remove(this);
       }
-      wakeWaiting();
+      resumePaused();
     }
   }
 }
--- a/src/main/java/hazelspoke/core/ClassRegistry.java
+++ b/src/main/java/hazelspoke/core/ClassRegistry.java
@@ -14,15 +14,15 @@
  */
 public final class ClassRegistry {
   /** Places are given away anew beyond so many, those first that were left longest ago. */
-  static final int MOST_PLACES = 64;
+  static final int MAX_ENTRIES = 64;
 
   /** Clients go by new settings 1.2 s after the gateway was told; this is with some slack. */
-  static final double GRACE_MS = 2_000;
+  static final double REMOVAL_GRACE_MS = 2_000;
 
-  private static final double FOR_GOOD = Double.POSITIVE_INFINITY;
+  private static final double NEVER = Double.POSITIVE_INFINITY;
 
   /** A class at its place, which can be asked for until this time. */
-  private record Entry(String name, RequestClass type, double until) {}
+  private record Entry(String name, RequestClass type, double expiresAtMs) {}
 
   private final List<Entry> entries;
 
@@ -45,42 +45,42 @@
    * @throws IllegalArgumentException if a name is missing or stands there twice, or there are too
    *     many classes, with those counted that were dropped a moment ago
    */
-  public ClassRegistry reloaded(List<String> names, List<RequestClass> types, double now) {
+  public ClassRegistry reloaded(List<String> names, List<RequestClass> types, double nowMs) {
     if (names.contains("") || new HashSet<>(names).size() < names.size()) {
       throw new IllegalArgumentException("every class needs a name of its own: " + names);
     }
     List<Entry> next = new ArrayList<>();
     for (Entry e : entries) {
-      int at = names.indexOf(e.name);
-      boolean stays = at >= 0 && types.get(at).effect() == e.type.effect();
+      int newIndex = names.indexOf(e.name);
+      boolean isUnchanged = newIndex >= 0 && types.get(newIndex).effect() == e.type.effect();
       // What is left for good stays where it is: a place is what others know it by.
       next.add(
-          stays
-              ? new Entry(e.name, types.get(at), FOR_GOOD)
-              : new Entry(e.name, e.type, Math.min(e.until, now + GRACE_MS)));
+          isUnchanged
+              ? new Entry(e.name, types.get(newIndex), NEVER)
+              : new Entry(e.name, e.type, Math.min(e.expiresAtMs, nowMs + REMOVAL_GRACE_MS)));
     }
     for (int i = 0; i < names.size(); i++) {
       String name = names.get(i);
-      if (next.stream().noneMatch(e -> e.name.equals(name) && e.until == FOR_GOOD)) {
-        put(next, new Entry(name, types.get(i), FOR_GOOD), now);
+      if (next.stream().noneMatch(e -> e.name.equals(name) && e.expiresAtMs == NEVER)) {
+        addOrReplaceExpired(next, new Entry(name, types.get(i), NEVER), nowMs);
       }
     }
     return new ClassRegistry(next);
   }
 
-  private static void put(List<Entry> entries, Entry entry, double now) {
-    if (entries.size() < MOST_PLACES) {
+  private static void addOrReplaceExpired(List<Entry> entries, Entry entry, double nowMs) {
+    if (entries.size() < MAX_ENTRIES) {
       entries.add(entry);
       return;
     }
-    int place = 0;
+    int index = 0;
     for (int i = 1; i < entries.size(); i++) {
-      place = entries.get(i).until < entries.get(place).until ? i : place;
+      index = entries.get(i).expiresAtMs < entries.get(index).expiresAtMs ? i : index;
     }
-    if (entries.get(place).until >= now) {
-      throw new IllegalArgumentException("more than " + MOST_PLACES + " classes at a time");
+    if (entries.get(index).expiresAtMs >= nowMs) {
+      throw new IllegalArgumentException("more than " + MAX_ENTRIES + " classes at a time");
     }
-    entries.set(place, entry);
+    entries.set(index, entry);
   }
 
   /**
@@ -90,27 +90,27 @@
    *
    * @param form the effect that the request's form stands for
    */
-  public int find(String name, Effect form, double now) {
+  public int find(String name, Effect effect, double nowMs) {
     int found = -1;
     for (int i = 0; i < entries.size(); i++) {
       Entry e = entries.get(i);
-      if (e.until < now || !e.name.equals(name)) {
+      if (e.expiresAtMs < nowMs || !e.name.equals(name)) {
         continue;
       }
-      if (found < 0 || rank(e, form) > rank(entries.get(found), form)) {
+      if (found < 0 || rank(e, effect) > rank(entries.get(found), effect)) {
         found = i;
       }
     }
     return found;
   }
 
-  private static int rank(Entry e, Effect form) {
-    return (e.type.effect() == form ? 2 : 0) + (e.until == FOR_GOOD ? 1 : 0);
+  private static int rank(Entry e, Effect effect) {
+    return (e.type.effect() == effect ? 2 : 0) + (e.expiresAtMs == NEVER ? 1 : 0);
   }
 
   /** The class at a place. */
-  public RequestClass type(int place) {
-    return entries.get(place).type;
+  public RequestClass type(int index) {
+    return entries.get(index).type;
   }
 
   /** The names by place; one may stand there twice, and those left for good among them. */
@@ -124,9 +124,9 @@
   }
 
   /** The longest deadline that a request may have now, in milliseconds. */
-  public double longestDeadlineMs(double now) {
+  public double longestDeadlineMs(double nowMs) {
     return entries.stream()
-        .filter(e -> e.until >= now)
+        .filter(e -> e.expiresAtMs >= nowMs)
         .mapToDouble(e -> e.type.deadlineMs())
         .max()
         .orElse(0);
--- a/src/main/java/hazelspoke/core/Deadlines.java
+++ b/src/main/java/hazelspoke/core/DeadlineQueue.java
@@ -8,26 +8,26 @@
  * 1964). Putting in and taking back cost O(log n), and what is taken back is let go of at once.
  * Entries due at the same time come in the order in which they were put in. No clock, no I/O.
  */
-final class Deadlines {
+final class DeadlineQueue {
   /** Something that becomes due; it is in one of these at most. */
   abstract static class Entry {
     private double dueMs;
-    private long turn;
-    private int place = -1;
+    private long sequence;
+    private int index = -1;
 
     /** Its time has come; it has been taken out. */
-    abstract void due();
+    abstract void onDue();
 
-    private boolean before(Entry other) {
-      return dueMs < other.dueMs || (dueMs == other.dueMs && turn < other.turn);
+    private boolean isBefore(Entry other) {
+      return dueMs < other.dueMs || (dueMs == other.dueMs && sequence < other.sequence);
     }
   }
 
-  private static final int ROOM = 64;
+  private static final int INITIAL_CAPACITY = 64;
 
-  private Entry[] heap = new Entry[ROOM];
+  private Entry[] heap = new Entry[INITIAL_CAPACITY];
   private int size;
-  private long turns;
+  private long nextSequence;
 
   int size() {
     return size;
@@ -46,31 +46,31 @@
    * @throws IllegalStateException if it is in already
    */
   void add(Entry entry, double dueMs) {
-    if (entry.place >= 0) {
+    if (entry.index >= 0) {
       throw new IllegalStateException("this is in already");
     }
     if (size == heap.length) {
       heap = Arrays.copyOf(heap, 2 * size);
     }
     entry.dueMs = dueMs;
-    entry.turn = turns++;
-    rise(entry, size++);
+    entry.sequence = nextSequence++;
+    siftUp(entry, size++);
   }
 
   /** Takes one back; harmless when it is not in. */
   void remove(Entry entry) {
-    int at = entry.place;
-    if (at < 0) {
+    int index = entry.index;
+    if (index < 0) {
       return;
     }
-    entry.place = -1;
+    entry.index = -1;
     Entry last = heap[--size];
     heap[size] = null;
     if (last != entry) {
-      if (at > 0 && last.before(heap[(at - 1) / 2])) {
-        rise(last, at);
+      if (index > 0 && last.isBefore(heap[(index - 1) / 2])) {
+        siftUp(last, index);
       } else {
-        sink(last, at);
+        siftDown(last, index);
       }
     }
   }
@@ -85,37 +85,37 @@
     return first;
   }
 
-  private void rise(Entry entry, int from) {
-    int at = from;
-    while (at > 0) {
-      int above = (at - 1) / 2;
-      if (!entry.before(heap[above])) {
+  private void siftUp(Entry entry, int from) {
+    int index = from;
+    while (index > 0) {
+      int parent = (index - 1) / 2;
+      if (!entry.isBefore(heap[parent])) {
         break;
       }
-      put(heap[above], at);
-      at = above;
+      setAt(heap[parent], index);
+      index = parent;
     }
-    put(entry, at);
+    setAt(entry, index);
   }
 
-  private void sink(Entry entry, int from) {
-    int at = from;
-    while (2 * at + 1 < size) {
-      int below = 2 * at + 1;
-      if (below + 1 < size && heap[below + 1].before(heap[below])) {
-        below++;
+  private void siftDown(Entry entry, int from) {
+    int index = from;
+    while (2 * index + 1 < size) {
+      int child = 2 * index + 1;
+      if (child + 1 < size && heap[child + 1].isBefore(heap[child])) {
+        child++;
       }
-      if (!heap[below].before(entry)) {
+      if (!heap[child].isBefore(entry)) {
         break;
       }
-      put(heap[below], at);
-      at = below;
+      setAt(heap[child], index);
+      index = child;
     }
-    put(entry, at);
+    setAt(entry, index);
   }
 
-  private void put(Entry entry, int at) {
-    heap[at] = entry;
-    entry.place = at;
+  private void setAt(Entry entry, int index) {
+    heap[index] = entry;
+    entry.index = index;
   }
 }
--- a/src/main/java/hazelspoke/core/Dispatcher.java
+++ b/src/main/java/hazelspoke/core/Dispatcher.java
@@ -42,16 +42,16 @@
   private final Map<String, Exchange> exchanges = new HashMap<>();
 
   /** The clients' own ids of the requests that are owed an answer. */
-  private final Set<String> open = new HashSet<>();
+  private final Set<String> openTxns = new HashSet<>();
 
   private Discovery discovery;
   private Balancer balancer;
-  private boolean deciding;
-  private long taken;
-  private int owed;
+  private boolean inBalancerCall;
+  private long acceptedCount;
+  private int pendingCount;
 
   /** When this process has to have answered all; infinite until it is told to end. */
-  private double endsBy = Double.POSITIVE_INFINITY;
+  private double shutdownDeadlineMs = Double.POSITIVE_INFINITY;
 
   /** One that takes at most {@code openCap} requests at a time and refuses what comes beyond. */
   public Dispatcher(
@@ -83,21 +83,21 @@
     return violations;
   }
 
-  public void start(Balancer module, Discovery client) {
+  public void start(Balancer module, Discovery discoveryClient) {
     balancer = module;
-    discovery = client;
+    discovery = discoveryClient;
   }
 
   /**
    * Hands the module one event. It is not made for being called from within its own actions, so
    * what follows from one at once waits for its turn; and if it fails, nobody waits for ever.
    */
-  private void decide(Exchange concerned, Runnable event) {
-    if (deciding) {
-      loop.execute(() -> decide(concerned, event));
+  private void callBalancer(Exchange concerned, Runnable event) {
+    if (inBalancerCall) {
+      loop.execute(() -> callBalancer(concerned, event));
       return;
     }
-    deciding = true;
+    inBalancerCall = true;
     boolean failed = false;
     try {
       event.run();
@@ -105,10 +105,10 @@
       log.failure("the module failed", e);
       failed = true;
     } finally {
-      deciding = false;
+      inBalancerCall = false;
     }
     if (failed && concerned != null) {
-      abandon(concerned);
+      failRequest(concerned);
     }
   }
 
@@ -116,47 +116,48 @@
    * This process ends: whatever is in hand and whatever still comes has to be answered by then, and
    * no host is told that it has longer.
    */
-  public void setShutdownDeadline(double byMs) {
-    endsBy = byMs;
-    for (Exchange x : List.copyOf(exchanges.values())) {
-      if (!x.ended && byMs < x.deadline) {
-        x.setShutdownDeadline(byMs);
-        limit(x);
+  public void setShutdownDeadline(double deadlineMs) {
+    shutdownDeadlineMs = deadlineMs;
+    for (Exchange exchange : List.copyOf(exchanges.values())) {
+      if (!exchange.ended && deadlineMs < exchange.deadlineMs) {
+        exchange.setShutdownDeadline(deadlineMs);
+        updateTimeouts(exchange);
       }
     }
   }
 
   /** Sees to it that neither it nor its attempts are waited for beyond its deadline. */
-  private void limit(Exchange x) {
-    double now = clock.nowMs();
-    timers.remove(x.overdue);
-    timers.add(x.overdue, x.deadline + OVERDUE_GRACE_MS - now);
-    for (Attempt attempt : x.attempts) {
-      attempt.limit(x.patienceMs(now));
+  private void updateTimeouts(Exchange exchange) {
+    double nowMs = clock.nowMs();
+    timers.remove(exchange.overdueTimer);
+    timers.add(exchange.overdueTimer, exchange.deadlineMs + OVERDUE_GRACE_MS - nowMs);
+    for (Attempt attempt : exchange.attempts) {
+      attempt.setTimeout(exchange.attemptTimeoutMs(nowMs));
     }
   }
 
   /** Fails all that is in hand: this process ends before they could be answered otherwise. */
   public void failAll() {
-    List<Exchange> left = exchanges.values().stream().filter(x -> !x.ended).toList();
-    if (!left.isEmpty()) {
-      log.line("leaving with requests in hand, failed: " + left.size());
-      left.forEach(this::abandon);
+    List<Exchange> unanswered =
+        exchanges.values().stream().filter(exchange -> !exchange.ended).toList();
+    if (!unanswered.isEmpty()) {
+      log.line("leaving with requests in hand, failed: " + unanswered.size());
+      unanswered.forEach(this::failRequest);
     }
   }
 
   /** Fails a request that the module has lost track of. */
-  private void abandon(Exchange x) {
-    if (!x.ended) {
-      answer(x, Answer.failed(false));
-      decide(null, () -> balancer.onClientGone(clock.nowMs(), x.id));
-      List.copyOf(x.attempts).forEach(Attempt::cancel);
+  private void failRequest(Exchange exchange) {
+    if (!exchange.ended) {
+      answer(exchange, Answer.failed(false));
+      callBalancer(null, () -> balancer.onClientGone(clock.nowMs(), exchange.id));
+      List.copyOf(exchange.attempts).forEach(Attempt::cancel);
     }
   }
 
   public void onMembers(MembersUpdate.Kind kind, HostList.Update update) {
     List<HostEntry> entries = new ArrayList<>();
-    List<HostEntry> gone = new ArrayList<>();
+    List<HostEntry> displacedHosts = new ArrayList<>();
     for (HostList.Listed host : update.hosts()) {
       HostEntry entry = host.entry();
       entries.add(entry);
@@ -165,19 +166,19 @@
       } else if (host.address() != null) {
         HostEntry displaced = hosts.setAddress(entry, host.address());
         if (displaced != null) {
-          gone.add(displaced);
+          displacedHosts.add(displaced);
         }
       }
     }
     // Its address has another host now, whatever the list says of it yet.
-    gone.forEach(entry -> entries.add(entry.as(Availability.GONE)));
+    displacedHosts.forEach(entry -> entries.add(entry.as(Availability.GONE)));
     if (kind == MembersUpdate.Kind.FULL) {
       hosts.retainOnly(entries.stream().map(HostEntry::host).collect(Collectors.toSet()));
     }
-    MembersUpdate news = new MembersUpdate(kind, update.version(), entries);
-    decide(null, () -> balancer.onMembers(clock.nowMs(), news));
+    MembersUpdate event = new MembersUpdate(kind, update.version(), entries);
+    callBalancer(null, () -> balancer.onMembers(clock.nowMs(), event));
     if (kind.isNews()) {
-      cancelAtDraining(kind, entries);
+      cancelUnsentToUnavailable(kind, entries);
     }
   }
 
@@ -185,23 +186,23 @@
    * Cancels what waits for its turn or for a connection to a host that drains or is gone: the
    * connection may come up after the grace, and the request can go elsewhere now.
    */
-  private void cancelAtDraining(MembersUpdate.Kind kind, List<HostEntry> entries) {
+  private void cancelUnsentToUnavailable(MembersUpdate.Kind kind, List<HostEntry> entries) {
     Set<String> up = new HashSet<>();
-    Set<String> named = new HashSet<>();
+    Set<String> listed = new HashSet<>();
     for (HostEntry entry : entries) {
-      named.add(entry.host());
+      listed.add(entry.host());
       if (entry.availability() == Availability.UP) {
         up.add(entry.host());
       }
     }
-    boolean changes = kind == MembersUpdate.Kind.DELTA;
-    if (changes && up.size() == named.size()) {
+    boolean isDelta = kind == MembersUpdate.Kind.DELTA;
+    if (isDelta && up.size() == listed.size()) {
       return;
     }
-    for (Exchange x : List.copyOf(exchanges.values())) {
-      for (Attempt a : List.copyOf(x.attempts)) {
-        if (!up.contains(a.host()) && (!changes || named.contains(a.host()))) {
-          a.cancelIfNotBegun();
+    for (Exchange exchange : List.copyOf(exchanges.values())) {
+      for (Attempt a : List.copyOf(exchange.attempts)) {
+        if (!up.contains(a.host()) && (!isDelta || listed.contains(a.host()))) {
+          a.cancelIfFirstByteUnsent();
         }
       }
     }
@@ -210,177 +211,182 @@
   /** Other settings are in force; see {@link Balancer#onSettings}. */
   public void onSettings(Settings next) {
     settings = next;
-    decide(null, () -> balancer.onSettings(clock.nowMs(), next));
+    callBalancer(null, () -> balancer.onSettings(clock.nowMs(), next));
   }
 
   /** A call to discovery failed; whether because nothing was heard. */
-  public void onDiscoveryFailed(boolean silent) {
-    MembersUpdate.Kind kind = silent ? MembersUpdate.Kind.SILENT : MembersUpdate.Kind.FAILED;
+  public void onDiscoveryFailed(boolean isUnresponsive) {
+    MembersUpdate.Kind kind =
+        isUnresponsive ? MembersUpdate.Kind.SILENT : MembersUpdate.Kind.FAILED;
     onMembers(kind, new HostList.Update(false, 0, List.of()));
   }
 
   @Override
   public boolean isOpen(String txn) {
-    return open.contains(txn);
+    return openTxns.contains(txn);
   }
 
   @Override
-  public void onRequest(Exchange x) {
-    answerOverdue();
-    double now = clock.nowMs();
-    x.lostBefore = lag.lostMs();
-    RequestInfo info = x.accept(Long.toString(taken++), now, lag.waitedMs(), endsBy);
-    owed++;
+  public void onRequest(Exchange exchange) {
+    failOverdue();
+    double nowMs = clock.nowMs();
+    exchange.lagAtStartMs = lag.totalLagMs();
+    RequestInfo info =
+        exchange.accept(
+            Long.toString(acceptedCount++), nowMs, lag.estimatedWaitMs(), shutdownDeadlineMs);
+    pendingCount++;
     meter.onAccepted();
-    if (owed > openCap) {
-      answer(x, Answer.refused(0));
+    if (pendingCount > openCap) {
+      answer(exchange, Answer.refused(0));
       return;
     }
-    exchanges.put(x.id, x);
-    open.add(x.request().txn());
-    x.overdue = new Overdue(x);
-    if (x.deadline < Double.POSITIVE_INFINITY) {
-      timers.add(x.overdue, x.deadline + OVERDUE_GRACE_MS - now);
+    exchanges.put(exchange.id, exchange);
+    openTxns.add(exchange.request().txn());
+    exchange.overdueTimer = new OverdueTimer(exchange);
+    if (exchange.deadlineMs < Double.POSITIVE_INFINITY) {
+      timers.add(exchange.overdueTimer, exchange.deadlineMs + OVERDUE_GRACE_MS - nowMs);
     }
-    decide(x, () -> balancer.onRequest(clock.nowMs(), info));
+    callBalancer(exchange, () -> balancer.onRequest(clock.nowMs(), info));
   }
 
   @Override
-  public void onHostAnswer(Exchange x, Answer answer) {
-    answerOverdue();
-    if (x.ended) {
+  public void onHostAnswer(Exchange exchange, Answer answer) {
+    failOverdue();
+    if (exchange.ended) {
       answer.share().release();
       answer.body().abandon();
     } else {
-      answer(x, answer);
+      answer(exchange, answer);
     }
   }
 
   @Override
   public void onAttemptEnded(Attempt attempt, Result result, String loadReport) {
-    Exchange x = attempt.exchange();
-    x.out--;
-    if (x.ended && x.out == 0) {
-      exchanges.remove(x.id);
+    Exchange exchange = attempt.exchange();
+    exchange.pendingOutcomes--;
+    if (exchange.ended && exchange.pendingOutcomes == 0) {
+      exchanges.remove(exchange.id);
     }
     List<Double> report =
         settings.reportMode() == Settings.ReportMode.WITH_ANSWERS
             ? names.parseReport(loadReport)
             : List.of();
     double elapsedMs = attempt.elapsedMs();
-    double ownMs = attempt.ownMs();
-    decide(
-        x,
+    double gatewayDelayMs = attempt.gatewayDelayMs();
+    callBalancer(
+        exchange,
         () ->
             balancer.onOutcome(
                 clock.nowMs(),
                 new Outcome(
-                    x.id,
+                    exchange.id,
                     attempt.host(),
-                    attempt.number(),
+                    attempt.index(),
                     result,
                     elapsedMs,
-                    x.ended,
+                    exchange.ended,
                     report,
-                    ownMs)));
+                    gatewayDelayMs)));
   }
 
   /**
    * Whose client's time is over for certain is answered before anything is done for others: where
    * the loop stood still, that is owed longest.
    */
-  private void answerOverdue() {
-    if (!deciding) {
-      timers.runDueBy(clock.nowMs() - Exchange.MOST_SPARE_MS);
+  private void failOverdue() {
+    if (!inBalancerCall) {
+      timers.runDueUntil(clock.nowMs() - Exchange.MAX_RESERVE_MS);
     }
   }
 
   @Override
-  public void onAnswerWritten(Exchange x) {
-    double lateMs = clock.nowMs() - x.deadline;
+  public void onAnswerWritten(Exchange exchange) {
+    double lateMs = clock.nowMs() - exchange.deadlineMs;
     if (lateMs > LateAnswer.SLACK_MS) {
-      double lostMs = lag.lostMs() - x.lostBefore;
-      LateAnswer why = LateAnswer.of(lateMs, x.decidedAt - x.deadline, lostMs, x.leftOpen);
-      meter.onLateAnswer(why);
+      double lagMs = lag.totalLagMs() - exchange.lagAtStartMs;
+      LateAnswer reason =
+          LateAnswer.of(
+              lateMs, exchange.answeredAtMs - exchange.deadlineMs, lagMs, exchange.endedAsOverdue);
+      meter.onLateAnswer(reason);
       log.line(
           "the answer to request %s left %.0f ms after its deadline, %s; lost here %.0f ms, "
-                  .formatted(x.id, lateMs, why.description(), lostMs)
+                  .formatted(exchange.id, lateMs, reason.description(), lagMs)
               + "the longest turn ever %.0f ms, attempts %d"
-                  .formatted(lag.longestMs(), x.attempts.size()));
+                  .formatted(lag.maxLagMs(), exchange.attempts.size()));
     }
   }
 
   @Override
-  public void onRequestComplete(Exchange x) {
-    if (x.ended) {
+  public void onRequestComplete(Exchange exchange) {
+    if (exchange.ended) {
       return;
     }
-    x.complete(clock.nowMs(), lag.waitedMs(), endsBy);
-    limit(x);
+    exchange.complete(clock.nowMs(), lag.estimatedWaitMs(), shutdownDeadlineMs);
+    updateTimeouts(exchange);
   }
 
   /** What is kept of requests: those in hand, attempts still out, and what is to become due. */
   int retainedCount() {
-    return exchanges.size() + open.size() + timers.size();
+    return exchanges.size() + openTxns.size() + timers.size();
   }
 
   @Override
-  public void onClientDisconnected(Exchange x) {
-    if (x.ended) {
+  public void onClientDisconnected(Exchange exchange) {
+    if (exchange.ended) {
       return;
     }
-    boolean sent = x.attempts.stream().anyMatch(Attempt::wasSent);
-    end(x);
+    boolean sent = exchange.attempts.stream().anyMatch(Attempt::isFullySent);
+    end(exchange);
     meter.onClientDisconnected(sent);
-    decide(x, () -> balancer.onClientGone(clock.nowMs(), x.id));
+    callBalancer(exchange, () -> balancer.onClientGone(clock.nowMs(), exchange.id));
   }
 
-  private void end(Exchange x) {
-    owed--;
-    open.remove(x.request().txn());
-    if (x.overdue != null) {
-      timers.remove(x.overdue);
+  private void end(Exchange exchange) {
+    pendingCount--;
+    openTxns.remove(exchange.request().txn());
+    if (exchange.overdueTimer != null) {
+      timers.remove(exchange.overdueTimer);
     }
-    x.letGo();
-    if (x.out == 0) {
-      exchanges.remove(x.id);
+    exchange.release();
+    if (exchange.pendingOutcomes == 0) {
+      exchanges.remove(exchange.id);
     }
     // Nothing more goes out for it: what has not been written by now must not be.
-    for (int i = 0; i < x.attempts.size(); i++) {
-      x.attempts.get(i).cancelIfNotSent();
+    for (int i = 0; i < exchange.attempts.size(); i++) {
+      exchange.attempts.get(i).cancelIfLastByteUnsent();
     }
   }
 
-  private void answer(Exchange x, Answer answer) {
-    if (!x.ended) {
-      x.decidedAt = clock.nowMs();
-      Client client = x.client();
-      int requestClass = x.request().requestClass();
-      end(x);
+  private void answer(Exchange exchange, Answer answer) {
+    if (!exchange.ended) {
+      exchange.answeredAtMs = clock.nowMs();
+      Client discoveryClient = exchange.client();
+      int requestClass = exchange.request().requestClass();
+      end(exchange);
       meter.onAnswered(requestClass, answer.outcome());
-      client.answer(answer);
+      discoveryClient.answer(answer);
     }
   }
 
   @Override
   public void send(String requestId, String host, double timeoutMs) {
-    Exchange x = exchanges.get(requestId);
-    double now = clock.nowMs();
-    if (x == null) {
+    Exchange exchange = exchanges.get(requestId);
+    double nowMs = clock.nowMs();
+    if (exchange == null) {
       log.line("the module sent request " + requestId + " after its end");
       return;
     }
-    Attempt attempt = new Attempt(services, this, x, host, repeatBy(x));
-    x.attempts.add(attempt);
-    x.out++;
-    double leftMs = x.deadline - now;
-    boolean mayGo = !x.ended && leftMs > 0 && x.request().body().isRepeatable();
-    if (!mayGo || x.attempts.size() > settings.limits().maxAttempts()) {
-      loop.execute(attempt::endUnsent);
+    Attempt attempt = new Attempt(services, this, exchange, host, repeatDeadlineMs(exchange));
+    exchange.attempts.add(attempt);
+    exchange.pendingOutcomes++;
+    double leftMs = exchange.deadlineMs - nowMs;
+    boolean canSend = !exchange.ended && leftMs > 0 && exchange.request().body().isRepeatable();
+    if (!canSend || exchange.attempts.size() > settings.limits().maxAttempts()) {
+      loop.execute(attempt::endNotSent);
       return;
     }
-    double mostMs = x.patienceMs(now);
-    attempt.start(timeoutMs > 0 ? Math.min(timeoutMs, mostMs) : mostMs);
+    double maxTimeoutMs = exchange.attemptTimeoutMs(nowMs);
+    attempt.start(timeoutMs > 0 ? Math.min(timeoutMs, maxTimeoutMs) : maxTimeoutMs);
   }
 
   /**
@@ -388,41 +394,41 @@
    * as long as the window of its class, counted from the first that may have run. The module sees
    * to it at its decision, and the connection may come up much later.
    */
-  private double repeatBy(Exchange x) {
-    double by = Double.POSITIVE_INFINITY;
-    if (!x.ended && x.request().effect() == Settings.Effect.BY_KEY) {
-      int c = x.request().requestClass();
-      double windowMs = settings.classes().get(c).windowMs() - settings.tickMs();
-      for (Attempt earlier : x.attempts) {
-        if (earlier.mayRun()) {
-          by = Math.min(by, earlier.startedAt() + windowMs);
+  private double repeatDeadlineMs(Exchange exchange) {
+    double deadlineMs = Double.POSITIVE_INFINITY;
+    if (!exchange.ended && exchange.request().effect() == Settings.Effect.BY_KEY) {
+      int requestClass = exchange.request().requestClass();
+      double windowMs = settings.classes().get(requestClass).windowMs() - settings.tickMs();
+      for (Attempt earlier : exchange.attempts) {
+        if (earlier.mayHaveRun()) {
+          deadlineMs = Math.min(deadlineMs, earlier.startedAtMs() + windowMs);
         }
       }
     }
-    return by;
+    return deadlineMs;
   }
 
   @Override
   public void refuse(String requestId, double retryAfterMs) {
-    Exchange x = exchanges.get(requestId);
-    if (x != null) {
-      answer(x, Answer.refused(retryAfterMs));
+    Exchange exchange = exchanges.get(requestId);
+    if (exchange != null) {
+      answer(exchange, Answer.refused(retryAfterMs));
     }
   }
 
   @Override
   public void fail(String requestId) {
-    Exchange x = exchanges.get(requestId);
-    if (x != null) {
-      answer(x, Answer.failed(clock.nowMs() >= x.answerBy));
+    Exchange exchange = exchanges.get(requestId);
+    if (exchange != null) {
+      answer(exchange, Answer.failed(clock.nowMs() >= exchange.attemptDeadlineMs));
     }
   }
 
   @Override
   public void cancel(String requestId, int attempt) {
-    Exchange x = exchanges.get(requestId);
-    if (x != null && attempt >= 0 && attempt < x.attempts.size()) {
-      x.attempts.get(attempt).cancelSoon();
+    Exchange exchange = exchanges.get(requestId);
+    if (exchange != null && attempt >= 0 && attempt < exchange.attempts.size()) {
+      exchange.attempts.get(attempt).cancelAsync();
     }
   }
 
@@ -436,8 +442,8 @@
         settings.reportMode() == Settings.ReportMode.NONE
             ? List.of()
             : names.parseReport(loadReport);
-    ProbeResult news = new ProbeResult(probe.host(), result, probe.elapsedMs(), report);
-    decide(null, () -> balancer.onProbeResult(clock.nowMs(), news));
+    ProbeResult event = new ProbeResult(probe.host(), result, probe.elapsedMs(), report);
+    callBalancer(null, () -> balancer.onProbeResult(clock.nowMs(), event));
   }
 
   @Override
@@ -448,10 +454,10 @@
   @Override
   public void setTimer(long timer, double delayMs) {
     timers.add(
-        new Deadlines.Entry() {
+        new DeadlineQueue.Entry() {
           @Override
-          void due() {
-            decide(null, () -> balancer.onTimer(clock.nowMs(), timer));
+          void onDue() {
+            callBalancer(null, () -> balancer.onTimer(clock.nowMs(), timer));
           }
         },
         delayMs);
@@ -479,18 +485,18 @@
   }
 
   /** A request that the module has left without an answer. */
-  private final class Overdue extends Deadlines.Entry {
-    private final Exchange x;
+  private final class OverdueTimer extends DeadlineQueue.Entry {
+    private final Exchange exchange;
 
-    Overdue(Exchange x) {
-      this.x = x;
+    OverdueTimer(Exchange exchange) {
+      this.exchange = exchange;
     }
 
     @Override
-    void due() {
-      log.line("request " + x.id + " was left without an answer");
-      x.leftOpen = true;
-      abandon(x);
+    void onDue() {
+      log.line("request " + exchange.id + " was left without an answer");
+      exchange.endedAsOverdue = true;
+      failRequest(exchange);
     }
   }
 }
--- a/src/main/java/hazelspoke/core/Exchange.java
+++ b/src/main/java/hazelspoke/core/Exchange.java
@@ -10,10 +10,10 @@
  */
 public final class Exchange {
   /** The part of a client's patience that is kept for the way back and for moments lost here. */
-  private static final double SPARE_PART = 1.0 / 8;
+  private static final double RESERVE_FRACTION = 1.0 / 8;
 
   /** But not more than processes with little to do were seen to stand still for, in ms. */
-  static final double MOST_SPARE_MS = 250;
+  static final double MAX_RESERVE_MS = 250;
 
   private Request request;
   private Client client;
@@ -27,31 +27,31 @@
   String id;
 
   /** Infinite while the rest of it is still to come. */
-  double deadline;
+  double deadlineMs;
 
   /**
    * From when on no attempt is waited for any more, so that what is said then gets to the client
    * while it still listens, though this process may stand still for a moment; infinite as above.
    */
-  double answerBy;
+  double attemptDeadlineMs;
 
   /** What fails it should the module forget it; null before it is taken. */
-  Deadlines.Entry overdue;
+  DeadlineQueue.Entry overdueTimer;
 
   /** What the loop had lost in all when the request came, in milliseconds. */
-  double lostBefore;
+  double lagAtStartMs;
 
   /** When its answer was decided. */
-  double decidedAt;
+  double answeredAtMs;
 
   /** Whether it was ended as overdue. */
-  boolean leftOpen;
+  boolean endedAsOverdue;
 
   /** Whether the client was answered or has gone: nothing more may be said or sent for it. */
   boolean ended;
 
   /** Attempts whose outcome the module has not been told. */
-  int out;
+  int pendingOutcomes;
 
   /**
    * A request that is coming in.
@@ -74,7 +74,7 @@
   }
 
   /** Ends it, and keeps nothing but what an attempt that is still out needs. */
-  void letGo() {
+  void release() {
     ended = true;
     request.body().abandon();
     request = null;
@@ -92,20 +92,21 @@
    *
    * @param endsBy when this process has to have answered all; infinite as long as it goes on
    */
-  void complete(double now, double waitedMs, double endsBy) {
-    due(now - waitedMs + request.remainingMs(), endsBy);
+  void complete(double nowMs, double waitedMs, double shutdownDeadlineMs) {
+    setDeadline(nowMs - waitedMs + request.remainingMs(), shutdownDeadlineMs);
   }
 
   /** This process ends: it has to be answered by then, however long its client would wait. */
-  void setShutdownDeadline(double endsBy) {
-    if (endsBy < deadline) {
-      due(endsBy, endsBy);
+  void setShutdownDeadline(double shutdownDeadlineMs) {
+    if (shutdownDeadlineMs < deadlineMs) {
+      setDeadline(shutdownDeadlineMs, shutdownDeadlineMs);
     }
   }
 
-  private void due(double when, double endsBy) {
-    deadline = Math.min(when, endsBy);
-    answerBy = deadline - Math.min(MOST_SPARE_MS, SPARE_PART * request.remainingMs());
+  private void setDeadline(double requestDeadlineMs, double shutdownDeadlineMs) {
+    deadlineMs = Math.min(requestDeadlineMs, shutdownDeadlineMs);
+    attemptDeadlineMs =
+        deadlineMs - Math.min(MAX_RESERVE_MS, RESERVE_FRACTION * request.remainingMs());
   }
 
   /**
@@ -113,20 +114,23 @@
    * still gets to the client. One that begins later than that has half of what is left. Never more
    * than the client has left.
    */
-  double patienceMs(double now) {
-    return Math.max(answerBy - now, (deadline - now) / 2);
+  double attemptTimeoutMs(double nowMs) {
+    return Math.max(attemptDeadlineMs - nowMs, (deadlineMs - nowMs) / 2);
   }
 
   /** The request is whole: its time has been running since it lay ready to be read. */
-  RequestInfo accept(String ownId, double now, double waitedMs, double endsBy) {
-    id = ownId;
-    double ifWholeNow = Math.min(endsBy, now - waitedMs + request.remainingMs());
-    due(request.body().remainder() == null ? ifWholeNow : Double.POSITIVE_INFINITY, endsBy);
+  RequestInfo accept(String assignedId, double nowMs, double waitedMs, double shutdownDeadlineMs) {
+    id = assignedId;
+    double deadlineIfCompleteMs =
+        Math.min(shutdownDeadlineMs, nowMs - waitedMs + request.remainingMs());
+    setDeadline(
+        request.body().remainder() == null ? deadlineIfCompleteMs : Double.POSITIVE_INFINITY,
+        shutdownDeadlineMs);
     return new RequestInfo(
         id,
         request.requestClass(),
         request.tenant(),
-        ifWholeNow,
+        deadlineIfCompleteMs,
         request.costHintMs(),
         request.entity(),
         request.effect() != Effect.REPEATABLE,
--- a/src/main/java/hazelspoke/core/LateAnswer.java
+++ b/src/main/java/hazelspoke/core/LateAnswer.java
@@ -22,12 +22,12 @@
   static final double SLACK_MS = 100;
 
   /** So much of a delay must have been lost by the loop for that to be its reason. */
-  private static final double MOST_OF_IT = 0.5;
+  private static final double MAIN_SHARE = 0.5;
 
   private final String description;
 
-  LateAnswer(String words) {
-    this.description = words;
+  LateAnswer(String description) {
+    this.description = description;
   }
 
   /** The reason, as words that end a sentence. */
@@ -43,13 +43,13 @@
    * @param lostMs what the loop was late by while the request was in hand, in milliseconds
    * @param leftOpen whether it was ended as overdue
    */
-  static LateAnswer of(double lateMs, double decidedLateMs, double lostMs, boolean leftOpen) {
-    if (lostMs >= MOST_OF_IT * lateMs) {
+  static LateAnswer of(double lateMs, double decidedLateMs, double lagMs, boolean endedAsOverdue) {
+    if (lagMs >= MAIN_SHARE * lateMs) {
       return STOOD_STILL;
     }
-    if (leftOpen) {
+    if (endedAsOverdue) {
       return LEFT_OPEN;
     }
-    return lateMs - decidedLateMs >= MOST_OF_IT * lateMs ? UNREAD : UNEXPLAINED;
+    return lateMs - decidedLateMs >= MAIN_SHARE * lateMs ? UNREAD : UNEXPLAINED;
   }
 }
--- a/src/main/java/hazelspoke/core/LoadProbe.java
+++ b/src/main/java/hazelspoke/core/LoadProbe.java
@@ -3,7 +3,7 @@
 import ternscale.api.Outcome.Result;
 
 /** Asks a host for its load, once; on the loop. */
-final class LoadProbe extends Deadlines.Entry implements HostCall {
+final class LoadProbe extends DeadlineQueue.Entry implements HostCall {
   /** Told once how the probe ended. */
   interface Listener {
     /**
@@ -20,8 +20,8 @@
   private final Listener listener;
   private final String host;
   private final double startedAt;
-  private HostTransport.CallHandle ticket;
-  private boolean over;
+  private HostTransport.CallHandle callHandle;
+  private boolean ended;
 
   LoadProbe(CoreServices services, Listener listener, String host) {
     this.services = services;
@@ -31,7 +31,7 @@
   }
 
   void start() {
-    ticket = services.hosts().start(host, this);
+    callHandle = services.hosts().start(host, this);
     services.timers().add(this, TIMEOUT_MS);
   }
 
@@ -45,8 +45,8 @@
   }
 
   @Override
-  void due() {
-    ticket.cancel();
+  void onDue() {
+    callHandle.cancel();
     end(Result.TIMEOUT, "");
   }
 
@@ -86,8 +86,8 @@
   }
 
   private void end(Result result, String loadReport) {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       services.timers().remove(this);
       listener.onProbeEnded(this, result, loadReport);
     }
--- a/src/main/java/hazelspoke/core/LoopLag.java
+++ b/src/main/java/hazelspoke/core/LoopLag.java
@@ -13,43 +13,43 @@
   private static final long TICK_MS = 5;
 
   private final Clock clock;
-  private double due;
-  private double last;
-  private double lost;
-  private double longest;
+  private double dueMs;
+  private double lastLagMs;
+  private double totalLagMs;
+  private double maxLagMs;
 
   LoopLag(EventLoop loop, Clock clock) {
     this.clock = clock;
-    due = clock.nowMs() + TICK_MS;
+    dueMs = clock.nowMs() + TICK_MS;
     loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
   }
 
   private void tick() {
-    last = behind();
-    lost += last;
-    longest = Math.max(longest, last);
-    due = clock.nowMs() + TICK_MS;
+    lastLagMs = currentLagMs();
+    totalLagMs += lastLagMs;
+    maxLagMs = Math.max(maxLagMs, lastLagMs);
+    dueMs = clock.nowMs() + TICK_MS;
   }
 
-  private double behind() {
-    return Math.max(0, clock.nowMs() - due);
+  private double currentLagMs() {
+    return Math.max(0, clock.nowMs() - dueMs);
   }
 
   /** All the time that was lost so far; of interest is how much it grows. */
-  double lostMs() {
-    return lost + behind();
+  double totalLagMs() {
+    return totalLagMs + currentLagMs();
   }
 
   /** The longest that the loop has been late so far, in milliseconds. */
-  double longestMs() {
-    return Math.max(longest, behind());
+  double maxLagMs() {
+    return Math.max(maxLagMs, currentLagMs());
   }
 
   /**
    * How long what is read now has waited: since this turn began for certain, and for a part of the
    * turn before, in which it came.
    */
-  double waitedMs() {
-    return behind() + last / 2;
+  double estimatedWaitMs() {
+    return currentLagMs() + lastLagMs / 2;
   }
 }
--- a/src/main/java/hazelspoke/core/Metadata.java
+++ b/src/main/java/hazelspoke/core/Metadata.java
@@ -11,18 +11,18 @@
   /** None at all. */
   public static final Metadata NONE = new Metadata(0);
 
-  private static final int USUAL = 12;
+  private static final int INITIAL_CAPACITY = 12;
 
   private CharSequence[] pairs;
   private int length;
 
   /** Empty, with room for what messages usually carry. */
   public Metadata() {
-    this(USUAL);
+    this(INITIAL_CAPACITY);
   }
 
-  private Metadata(int room) {
-    pairs = new CharSequence[2 * room];
+  private Metadata(int capacity) {
+    pairs = new CharSequence[2 * capacity];
   }
 
   /** Adds one; only who makes it may, and not once it has been handed on. */
--- a/src/main/java/hazelspoke/core/Meter.java
+++ b/src/main/java/hazelspoke/core/Meter.java
@@ -15,13 +15,13 @@
         public void onAnswered(int requestClass, Answer.Outcome outcome) {}
 
         @Override
-        public void onClientDisconnected(boolean sent) {}
+        public void onClientDisconnected(boolean wasSentToHost) {}
 
         @Override
         public void onSent() {}
 
         @Override
-        public void onLateAnswer(LateAnswer why) {}
+        public void onLateAnswer(LateAnswer reason) {}
 
         @Override
         public void onViolation(Violations.Kind kind) {}
@@ -34,13 +34,13 @@
   void onAnswered(int requestClass, Answer.Outcome outcome);
 
   /** The client of a request left before it had its answer; whether any host had got it. */
-  void onClientDisconnected(boolean sent);
+  void onClientDisconnected(boolean wasSentToHost);
 
   /** An attempt was written whole to a host. */
   void onSent();
 
   /** An answer left after its client had stopped waiting. */
-  void onLateAnswer(LateAnswer why);
+  void onLateAnswer(LateAnswer reason);
 
   /** Something came about that never must. */
   void onViolation(Violations.Kind kind);
--- a/src/main/java/hazelspoke/core/Names.java
+++ b/src/main/java/hazelspoke/core/Names.java
@@ -12,14 +12,14 @@
     List<String> reportColumns) {
   /** A tenant's place; an unknown one comes after all others, where no quota is looked for. */
   public int tenantIndex(String name) {
-    int place = name == null ? 0 : tenants.indexOf(name);
-    return place < 0 ? tenants.size() : place;
+    int index = name == null ? 0 : tenants.indexOf(name);
+    return index < 0 ? tenants.size() : index;
   }
 
   /** A kind's place; all unknown ones share the place after the known. */
   public int kindIndex(String name) {
-    int place = kinds.indexOf(name);
-    return place < 0 ? kinds.size() : place;
+    int index = kinds.indexOf(name);
+    return index < 0 ? kinds.size() : index;
   }
 
   /**
--- a/src/main/java/hazelspoke/core/SendGuard.java
+++ b/src/main/java/hazelspoke/core/SendGuard.java
@@ -23,7 +23,7 @@
   }
 
   /** What a host is told may be off by as much as the terms allow between clock and write. */
-  private static final double TOLD_SLACK_MS = 150;
+  private static final double REPORTED_TIME_TOLERANCE_MS = 150;
 
   private final Clock clock;
   private final Violations violations;
@@ -34,41 +34,41 @@
   }
 
   /** Whether the first byte of an attempt may be written now, which has to be by this time. */
-  Verdict mayBegin(Exchange x, double beginBy) {
-    if (!isAwaited(x)) {
+  Verdict checkFirstByte(Exchange exchange, double sendByMs) {
+    if (!isClientWaiting(exchange)) {
       return Verdict.REQUEST_ENDED;
     }
     double now = clock.nowMs();
-    if (now >= beginBy) {
+    if (now >= sendByMs) {
       return Verdict.WINDOW_OVER;
     }
-    return now < x.deadline ? Verdict.ALLOWED : Verdict.OUT_OF_TIME;
+    return now < exchange.deadlineMs ? Verdict.ALLOWED : Verdict.OUT_OF_TIME;
   }
 
   /** Whether the last byte of an attempt may be written now, all others having gone. */
-  Verdict mayFinish(Exchange x, double beginBy) {
-    return mayBegin(x, beginBy);
+  Verdict checkLastByte(Exchange exchange, double sendByMs) {
+    return checkFirstByte(exchange, sendByMs);
   }
 
   /** Whether its client still waits; what it has sent or ended by now is read before. */
-  private static boolean isAwaited(Exchange x) {
-    if (!x.ended) {
-      x.client().readPending();
+  private static boolean isClientWaiting(Exchange exchange) {
+    if (!exchange.ended) {
+      exchange.client().readPending();
     }
-    return !x.ended;
+    return !exchange.ended;
   }
 
   /** Checks what has been written: to be called as the last byte has gone. */
-  void onSent(Exchange x) {
-    if (x.ended) {
-      violations.count(Violations.Kind.SENT_AFTER_END, x.id);
+  void checkSent(Exchange exchange) {
+    if (exchange.ended) {
+      violations.count(Violations.Kind.SENT_AFTER_END, exchange.id);
     }
   }
 
   /** Checks what a host is told to have left, in milliseconds. */
-  void onTold(Exchange x, double remainingMs) {
-    if (remainingMs > x.deadline - clock.nowMs() + TOLD_SLACK_MS) {
-      violations.count(Violations.Kind.TIME_TOLD, x.id);
+  void checkReportedTime(Exchange exchange, double remainingMs) {
+    if (remainingMs > exchange.deadlineMs - clock.nowMs() + REPORTED_TIME_TOLERANCE_MS) {
+      violations.count(Violations.Kind.TIME_TOLD, exchange.id);
     }
   }
 }
--- a/src/main/java/hazelspoke/core/Violations.java
+++ b/src/main/java/hazelspoke/core/Violations.java
@@ -22,10 +22,10 @@
     /** The process ends with requests that have no answer. */
     EXIT_UNANSWERED("this process ends without its answer");
 
-    private final String words;
+    private final String description;
 
-    Kind(String words) {
-      this.words = words;
+    Kind(String description) {
+      this.description = description;
     }
   }
 
@@ -45,6 +45,6 @@
    */
   public void count(Kind kind, String request) {
     meter.onViolation(kind);
-    log.line("violation: request " + request + ": " + kind.words);
+    log.line("violation: request " + request + ": " + kind.description);
   }
 }
--- a/src/main/java/hazelspoke/http/BodyWriter.java
+++ b/src/main/java/hazelspoke/http/BodyWriter.java
@@ -16,19 +16,19 @@
  */
 public final class BodyWriter implements BodyStream.Sink {
   private static final int PIECE_BYTES = 16_384;
-  private static final byte[] LINE_END = {'\r', '\n'};
+  private static final byte[] CRLF = {'\r', '\n'};
   private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
   private final Channel channel;
   private final Body body;
   private final boolean chunked;
   private final ChannelFutureListener whenWritten;
-  private final Runnable whenBroken;
-  private final long held;
+  private final Runnable whenTruncated;
+  private final long bufferedLength;
   private long offset;
   private boolean done;
-  private boolean passing;
-  private int piecesOut;
+  private boolean streaming;
+  private int piecesInFlight;
   private long piecesWritten;
 
   /** One for a body of which all is held; otherwise as below. */
@@ -50,22 +50,22 @@
       Body body,
       boolean chunked,
       ChannelFutureListener whenWritten,
-      Runnable whenBroken) {
+      Runnable whenTruncated) {
     this.channel = channel;
     this.body = body;
     this.chunked = chunked;
     this.whenWritten = whenWritten;
-    this.whenBroken = whenBroken;
-    held = body.bufferedLength();
+    this.whenTruncated = whenTruncated;
+    bufferedLength = body.bufferedLength();
   }
 
   /** Begins with this head; the end may be told before this returns. */
   public void start(HeadWriter head) {
     if (body.remainder() == null && !chunked && body.bufferedLength() <= PIECE_BYTES) {
       done = true;
-      ByteBuf whole = head.finish((int) body.bufferedLength());
-      body.copyTo(whole);
-      channel.writeAndFlush(whole).addListener(whenWritten);
+      ByteBuf message = head.finish((int) body.bufferedLength());
+      body.copyTo(message);
+      channel.writeAndFlush(message).addListener(whenWritten);
     } else {
       channel.write(head.finish(0));
       resume();
@@ -74,21 +74,21 @@
 
   /** Goes on; to be called whenever the channel has become writable. */
   public void resume() {
-    while (!done && offset < held && channel.isWritable()) {
+    while (!done && offset < bufferedLength && channel.isWritable()) {
       ByteBuf piece = body.slice(offset, PIECE_BYTES);
       offset += piece.readableBytes();
-      if (offset == held && body.remainder() == null && !chunked) {
+      if (offset == bufferedLength && body.remainder() == null && !chunked) {
         done = true;
         channel.writeAndFlush(piece).addListener(whenWritten);
       } else {
         write(piece);
       }
     }
-    if (!done && offset == held) {
+    if (!done && offset == bufferedLength) {
       if (body.remainder() == null) {
         onComplete();
-      } else if (!passing) {
-        passing = true;
+      } else if (!streaming) {
+        streaming = true;
         body.remainder().attach(this);
       } else if (channel.isWritable()) {
         body.remainder().pull();
@@ -105,14 +105,14 @@
           Unpooled.wrappedBuffer(
               Unpooled.wrappedBuffer(length.getBytes(StandardCharsets.US_ASCII)),
               piece,
-              Unpooled.wrappedBuffer(LINE_END));
+              Unpooled.wrappedBuffer(CRLF));
     }
-    piecesOut++;
-    channel.write(framed).addListener(this::pieceGone);
+    piecesInFlight++;
+    channel.write(framed).addListener(this::onPieceWritten);
   }
 
-  private void pieceGone(Future<? super Void> written) {
-    piecesOut--;
+  private void onPieceWritten(Future<? super Void> written) {
+    piecesInFlight--;
     piecesWritten++;
   }
 
@@ -123,7 +123,7 @@
 
   /** Whether something waits for the peer to take it, rather than for its source. */
   public boolean isAwaitingPeer() {
-    return done || piecesOut > 0;
+    return done || piecesInFlight > 0;
   }
 
   @Override
@@ -143,7 +143,7 @@
   @Override
   public void onTruncated() {
     done = true;
-    whenBroken.run();
+    whenTruncated.run();
   }
 
   /** Nobody takes what is written any more: the rest need not come. */
--- a/src/main/java/hazelspoke/http/ChannelBodySource.java
+++ b/src/main/java/hazelspoke/http/ChannelBodySource.java
@@ -12,7 +12,7 @@
   }
 
   @Override
-  public void setReading(boolean on) {
-    channel.config().setAutoRead(on);
+  public void setReading(boolean enabled) {
+    channel.config().setAutoRead(enabled);
   }
 }
--- a/src/main/java/hazelspoke/http/HeadWriter.java
+++ b/src/main/java/hazelspoke/http/HeadWriter.java
@@ -13,17 +13,17 @@
  * read by a strict decoder or made here: nothing in it may hold a line's end, as nothing checks.
  */
 public final class HeadWriter {
-  private static final int USUAL_BYTES = 512;
-  private static final AsciiString BETWEEN = AsciiString.cached(": ");
-  private static final AsciiString LINE_END = AsciiString.cached("\r\n");
-  private static final AsciiString OF_REQUEST = AsciiString.cached(" HTTP/1.1\r\n");
-  private static final AsciiString OF_ANSWER = AsciiString.cached("HTTP/1.1 ");
-  private static final AsciiString BLANK = AsciiString.cached(" ");
+  private static final int INITIAL_BYTES = 512;
+  private static final AsciiString SEPARATOR = AsciiString.cached(": ");
+  private static final AsciiString CRLF = AsciiString.cached("\r\n");
+  private static final AsciiString REQUEST_LINE_END = AsciiString.cached(" HTTP/1.1\r\n");
+  private static final AsciiString STATUS_LINE_START = AsciiString.cached("HTTP/1.1 ");
+  private static final AsciiString SPACE = AsciiString.cached(" ");
 
   private final ByteBufAllocator allocator;
 
   /** On the heap: a write of a few bytes outside it costs more than they are worth. */
-  private byte[] bytes = new byte[USUAL_BYTES];
+  private byte[] bytes = new byte[INITIAL_BYTES];
 
   private int length;
 
@@ -34,21 +34,21 @@
   /** Begins a request. */
   public static HeadWriter request(ByteBufAllocator allocator, String method, String target) {
     HeadWriter head = new HeadWriter(allocator);
-    head.put(method).put(BLANK).put(target).put(OF_REQUEST);
+    head.put(method).put(SPACE).put(target).put(REQUEST_LINE_END);
     return head;
   }
 
   /** Begins an answer. */
   public static HeadWriter response(ByteBufAllocator allocator, HttpResponseStatus status) {
     HeadWriter head = new HeadWriter(allocator);
-    head.put(OF_ANSWER).put(status.codeAsText()).put(BLANK);
-    head.put(status.reasonPhrase()).put(LINE_END);
+    head.put(STATUS_LINE_START).put(status.codeAsText()).put(SPACE);
+    head.put(status.reasonPhrase()).put(CRLF);
     return head;
   }
 
   /** Adds a header. */
   public HeadWriter add(CharSequence name, CharSequence value) {
-    return put(name).put(BETWEEN).put(value).put(LINE_END);
+    return put(name).put(SEPARATOR).put(value).put(CRLF);
   }
 
   /** Adds headers. */
@@ -60,23 +60,23 @@
   }
 
   /** Ends it, with room for so many bytes more; whoever takes the bytes releases them. */
-  public ByteBuf finish(int room) {
-    put(LINE_END);
-    return allocator.directBuffer(length + room).writeBytes(bytes, 0, length);
+  public ByteBuf finish(int extraBytes) {
+    put(CRLF);
+    return allocator.directBuffer(length + extraBytes).writeBytes(bytes, 0, length);
   }
 
   private HeadWriter put(CharSequence text) {
-    int more = text.length();
-    if (length + more > bytes.length) {
-      bytes = Arrays.copyOf(bytes, 2 * (length + more));
+    int added = text.length();
+    if (length + added > bytes.length) {
+      bytes = Arrays.copyOf(bytes, 2 * (length + added));
     }
     if (text instanceof AsciiString ascii) {
-      ascii.copy(0, bytes, length, more);
+      ascii.copy(0, bytes, length, added);
     } else {
       byte[] latin = text.toString().getBytes(StandardCharsets.ISO_8859_1);
-      System.arraycopy(latin, 0, bytes, length, more);
+      System.arraycopy(latin, 0, bytes, length, added);
     }
-    length += more;
+    length += added;
     return this;
   }
 }
--- a/src/main/java/hazelspoke/http/Headers.java
+++ b/src/main/java/hazelspoke/http/Headers.java
@@ -55,7 +55,7 @@
    * @param listed as {@link #listedInConnection} says
    */
   public static boolean isEndToEnd(CharSequence name, Set<String> listed) {
-    boolean ends =
+    boolean isConsumedHere =
         switch (name.length()) {
           case 2 -> is(name, HttpHeaderNames.TE);
           case 4 -> is(name, HttpHeaderNames.HOST);
@@ -68,7 +68,7 @@
           case 17 -> is(name, HttpHeaderNames.TRANSFER_ENCODING);
           default -> false;
         };
-    return !ends && !isListed(name, listed);
+    return !isConsumedHere && !isListed(name, listed);
   }
 
   /** Whether the sender named a header as one for this connection only. */
--- a/src/main/java/hazelspoke/net/Addresses.java
+++ b/src/main/java/hazelspoke/net/Addresses.java
@@ -7,7 +7,7 @@
 
 /** Socket addresses as text. Only figures: there is no DNS, and a look-up would stop the loop. */
 public final class Addresses {
-  private static final int HIGHEST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   private Addresses() {}
 
@@ -21,7 +21,7 @@
     }
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
-      return port < 0 || port > HIGHEST_PORT
+      return port < 0 || port > MAX_PORT
           ? null
           : new InetSocketAddress(InetAddress.getByAddress(ip), port);
     } catch (NumberFormatException | UnknownHostException e) {
--- a/src/main/java/hazelspoke/net/EventLoops.java
+++ b/src/main/java/hazelspoke/net/EventLoops.java
@@ -28,7 +28,7 @@
     return new IoHandlerFactory() {
       @Override
       public IoHandler newHandler(ThreadAwareExecutor executor) {
-        return new WaitingIoHandler(handlers.newHandler(executor));
+        return new TimerRoundingIoHandler(handlers.newHandler(executor));
       }
 
       @Override
--- a/src/main/java/hazelspoke/net/Listener.java
+++ b/src/main/java/hazelspoke/net/Listener.java
@@ -17,23 +17,23 @@
    * @param most how many may be taken in
    * @return whether it is closed; otherwise somebody may wait still
    */
-  public boolean acceptPendingAndClose(int most) {
-    List<Object> waiting = new ArrayList<>();
-    boolean empty = false;
+  public boolean acceptPendingAndClose(int maxAccepted) {
+    List<Object> accepted = new ArrayList<>();
+    boolean isEmpty = false;
     try {
-      while (!empty && waiting.size() < most) {
+      while (!isEmpty && accepted.size() < maxAccepted) {
         // One at a time, until there is none.
-        empty = doReadMessages(waiting) <= 0;
+        isEmpty = doReadMessages(accepted) <= 0;
       }
     } catch (Exception e) {
       // Out of descriptors, for one: who could not be taken in waits on.
       pipeline().fireExceptionCaught(e);
     }
-    if (empty) {
+    if (isEmpty) {
       close();
     }
-    waiting.forEach(pipeline()::fireChannelRead);
+    accepted.forEach(pipeline()::fireChannelRead);
     pipeline().fireChannelReadComplete();
-    return empty;
+    return isEmpty;
   }
 }
--- a/src/main/java/hazelspoke/net/SocketPolling.java
+++ b/src/main/java/hazelspoke/net/SocketPolling.java
@@ -25,7 +25,7 @@
    * does not wait; on the loop.
    */
   public static void afterPoll(EventLoop loop, Runnable task) {
-    loop.execute(() -> look(loop, task, MAX_POLLS));
+    loop.execute(() -> poll(loop, task, MAX_POLLS));
   }
 
   /**
@@ -44,17 +44,17 @@
   }
 
   /** For a task of the loop: due timers are fetched before these, and so are of the next turn. */
-  private static void look(EventLoop loop, Runnable task, int looksLeft) {
-    long askedAt = loop.ticker().nanoTime();
-    Runnable afterLook =
+  private static void poll(EventLoop loop, Runnable task, int pollsLeft) {
+    long scheduledAtNanos = loop.ticker().nanoTime();
+    Runnable afterPoll =
         () -> {
-          long ageMs = TimeUnit.NANOSECONDS.toMillis(loop.ticker().nanoTime() - askedAt);
-          if (ageMs > MAX_POLL_AGE_MS && looksLeft > 1) {
-            look(loop, task, looksLeft - 1);
+          long ageMs = TimeUnit.NANOSECONDS.toMillis(loop.ticker().nanoTime() - scheduledAtNanos);
+          if (ageMs > MAX_POLL_AGE_MS && pollsLeft > 1) {
+            poll(loop, task, pollsLeft - 1);
           } else {
             task.run();
           }
         };
-    loop.schedule(afterLook, 0, TimeUnit.NANOSECONDS);
+    loop.schedule(afterPoll, 0, TimeUnit.NANOSECONDS);
   }
 }
--- a/src/main/java/hazelspoke/net/WaitingIoHandler.java
+++ b/src/main/java/hazelspoke/net/TimerRoundingIoHandler.java
@@ -12,7 +12,7 @@
  * of a core only, the time burnt so is missing right afterwards, and the loop stands still. Rounded
  * up, a timer is up to a millisecond late and costs one turn.
  */
-final class WaitingIoHandler implements IoHandler {
+final class TimerRoundingIoHandler implements IoHandler {
   private static final long NANOS_PER_MS = 1_000_000;
 
   private final IoHandler handler;
@@ -22,7 +22,7 @@
 
   private IoHandlerContext roundedContext;
 
-  WaitingIoHandler(IoHandler handler) {
+  TimerRoundingIoHandler(IoHandler handler) {
     this.handler = handler;
   }
 
@@ -30,7 +30,7 @@
   public int run(IoHandlerContext context) {
     if (context != lastContext) {
       lastContext = context;
-      roundedContext = new RoundedUp(context);
+      roundedContext = new RoundedUpContext(context);
     }
     return handler.run(roundedContext);
   }
@@ -66,7 +66,7 @@
   }
 
   /** Tells delays in whole milliseconds, rounded up; what is due, and no timer at all, stay. */
-  private record RoundedUp(IoHandlerContext context) implements IoHandlerContext {
+  private record RoundedUpContext(IoHandlerContext context) implements IoHandlerContext {
     @Override
     public boolean canBlock() {
       return context.canBlock();
--- a/src/main/java/hazelspoke/net/Transport.java
+++ b/src/main/java/hazelspoke/net/Transport.java
@@ -28,11 +28,11 @@
           UnaryOperator.identity());
 
   /** Sockets in the file system: whoever is called, it is the one that listens at {@code peer}. */
-  public static Transport unixSockets(Path own, Path peer) {
+  public static Transport unixSockets(Path ownPath, Path peerPath) {
     return new Transport(
         NioServerDomainSocketChannel.class,
         NioDomainSocketChannel.class,
-        address -> UnixDomainSocketAddress.of(own),
-        address -> UnixDomainSocketAddress.of(peer));
+        address -> UnixDomainSocketAddress.of(ownPath),
+        address -> UnixDomainSocketAddress.of(peerPath));
   }
 }
--- a/src/main/java/hazelspoke/net/UnixSocketSupport.java
+++ b/src/main/java/hazelspoke/net/UnixSocketSupport.java
@@ -24,16 +24,16 @@
    *
    * @param at a path that does not exist, in a folder that may be written to; it is left as it was
    */
-  public static boolean isAvailable(Path at) {
-    UnixDomainSocketAddress address = UnixDomainSocketAddress.of(at);
-    try (ServerSocketChannel listening = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-      listening.bind(address);
-      return isAvailable(listening, address);
+  public static boolean isAvailable(Path path) {
+    UnixDomainSocketAddress address = UnixDomainSocketAddress.of(path);
+    try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+      server.bind(address);
+      return canTransfer(server, address);
     } catch (IOException | UnsupportedOperationException | SecurityException e) {
       return false;
     } finally {
       try {
-        Files.deleteIfExists(at);
+        Files.deleteIfExists(path);
       } catch (IOException e) {
         // Whoever owns the folder clears it.
       }
@@ -41,21 +41,21 @@
   }
 
   /** Whether one who calls there arrives here. */
-  static boolean isAvailable(ServerSocketChannel here, UnixDomainSocketAddress there)
+  static boolean canTransfer(ServerSocketChannel server, UnixDomainSocketAddress address)
       throws IOException {
-    here.configureBlocking(false);
-    try (SocketChannel calling = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-      calling.configureBlocking(false);
-      if (!calling.connect(there)) {
+    server.configureBlocking(false);
+    try (SocketChannel client = SocketChannel.open(StandardProtocolFamily.UNIX)) {
+      client.configureBlocking(false);
+      if (!client.connect(address)) {
         return false;
       }
-      try (SocketChannel called = here.accept()) {
-        if (called == null) {
+      try (SocketChannel accepted = server.accept()) {
+        if (accepted == null) {
           return false;
         }
-        called.configureBlocking(false);
-        ByteBuffer one = ByteBuffer.allocate(1);
-        return calling.write(one) == 1 && called.read(one.clear()) == 1;
+        accepted.configureBlocking(false);
+        ByteBuffer buffer = ByteBuffer.allocate(1);
+        return client.write(buffer) == 1 && accepted.read(buffer.clear()) == 1;
       }
     }
   }
--- a/src/test/java/hazelspoke/core/BodyStreamTest.java
+++ b/src/test/java/hazelspoke/core/BodyStreamTest.java
@@ -10,24 +10,24 @@
 
 /** Any order of reading, writing, pausing and breaking off. */
 class BodyStreamTest {
-  private static final int READ = 4_096;
+  private static final int MAX_READ_BYTES = 4_096;
 
   /** Plays one course of events; the seed is printed with a failure. */
   @Property(tries = 2_000)
-  void allArrivesInOrderWithOneEndAndLittleWaitsInBetween(@ForAll long seed) {
+  void deliversAllInOrderWithOneEndAndBoundedBuffer(@ForAll long seed) {
     Random random = new Random(seed);
     List<Byte> sent = new ArrayList<>();
-    List<Byte> got = new ArrayList<>();
-    boolean[] flowing = {true};
+    List<Byte> received = new ArrayList<>();
+    boolean[] reading = {true};
     boolean[] abandoned = {false};
     int[] ends = {0};
-    int[] breaks = {0};
-    BodyStream flow =
+    int[] truncations = {0};
+    BodyStream stream =
         new BodyStream(
             new BodyStream.Source() {
               @Override
               public void setReading(boolean on) {
-                flowing[0] = on;
+                reading[0] = on;
               }
 
               @Override
@@ -40,12 +40,12 @@
           @Override
           public boolean write(byte[] bytes) {
             for (byte b : bytes) {
-              got.add(b);
+              received.add(b);
             }
             boolean more = random.nextInt(3) > 0;
             if (!more && random.nextInt(4) == 0) {
               // A socket that takes it at once says so before this returns.
-              flow.pull();
+              stream.pull();
               return true;
             }
             return more;
@@ -58,69 +58,70 @@
 
           @Override
           public void onTruncated() {
-            breaks[0]++;
+            truncations[0]++;
           }
         };
-    boolean over = false;
+    boolean sourceDone = false;
     boolean failed = false;
     int steps = 1 + random.nextInt(60);
     for (int i = 0; i < steps; i++) {
       switch (random.nextInt(6)) {
         case 0, 1, 2 -> {
-          if (!over && flowing[0]) {
-            byte[] bytes = new byte[random.nextInt(READ)];
+          if (!sourceDone && reading[0]) {
+            byte[] bytes = new byte[random.nextInt(MAX_READ_BYTES)];
             random.nextBytes(bytes);
-            flow.offer(bytes);
+            stream.offer(bytes);
             for (byte b : bytes) {
               sent.add(b);
             }
           }
         }
         case 3 -> {
-          if (flow.isAttached()) {
-            flow.pull();
+          if (stream.isAttached()) {
+            stream.pull();
           } else {
-            flow.attach(sink);
+            stream.attach(sink);
           }
         }
         case 4 -> {
-          if (!over && random.nextInt(8) == 0) {
-            over = true;
+          if (!sourceDone && random.nextInt(8) == 0) {
+            sourceDone = true;
             failed = random.nextBoolean();
             if (failed) {
-              flow.fail();
+              stream.fail();
             } else {
-              flow.end();
+              stream.end();
             }
           }
         }
         default -> {
-          if (flow.isAttached() && random.nextInt(30) == 0) {
-            flow.abandon();
+          if (stream.isAttached() && random.nextInt(30) == 0) {
+            stream.abandon();
           }
         }
       }
-      assertThat(sent.subList(0, got.size())).isEqualTo(got);
+      assertThat(sent.subList(0, received.size())).isEqualTo(received);
       if (!abandoned[0] && !failed) {
-        assertThat(sent.size() - got.size()).isLessThan(BodyStream.MAX_PENDING_BYTES + READ);
+        assertThat(sent.size() - received.size())
+            .isLessThan(BodyStream.MAX_PENDING_BYTES + MAX_READ_BYTES);
       }
-      assertThat(ends[0] + breaks[0]).isLessThanOrEqualTo(1);
+      assertThat(ends[0] + truncations[0]).isLessThanOrEqualTo(1);
     }
-    if (!flow.isAttached()) {
-      flow.attach(sink);
+    if (!stream.isAttached()) {
+      stream.attach(sink);
     }
-    for (int i = 0; i < 1_000 && ends[0] + breaks[0] == 0 && !abandoned[0]; i++) {
-      flow.pull();
-      if (!over) {
-        over = true;
-        flow.end();
+    for (int i = 0; i < 1_000 && ends[0] + truncations[0] == 0 && !abandoned[0]; i++) {
+      stream.pull();
+      if (!sourceDone) {
+        sourceDone = true;
+        stream.end();
       }
     }
     if (!abandoned[0]) {
-      assertThat(breaks[0]).isEqualTo(failed ? 1 : 0);
+      assertThat(truncations[0]).isEqualTo(failed ? 1 : 0);
       assertThat(ends[0]).isEqualTo(failed ? 0 : 1);
       if (!failed) {
-        assertThat(got).isEqualTo(sent);
+        assertThat(received).isEqualTo(sent);
       }
     }
   }
--- a/src/test/java/hazelspoke/core/ClassRegistryTest.java
+++ b/src/test/java/hazelspoke/core/ClassRegistryTest.java
@@ -23,51 +23,51 @@
 
   /** Names of the days' classes, as bits of a number; their effect as another's. */
   @Property(tries = 300)
-  void whatCanBeAskedForIsWhatTheNewestSettingsSayAndPlacesStay(
-      @ForAll @Size(min = 1, max = 30) List<@IntRange(min = 1, max = 1023) Integer> days) {
-    ClassRegistry book = ClassRegistry.of(List.of("n0"), List.of(type(Effect.ONCE, 1)));
-    double now = 0;
-    for (int day : days) {
+  void findsClassesOfNewestSettingsAndKeepsIndices(
+      @ForAll @Size(min = 1, max = 30) List<@IntRange(min = 1, max = 1023) Integer> reloads) {
+    ClassRegistry registry = ClassRegistry.of(List.of("n0"), List.of(type(Effect.ONCE, 1)));
+    double nowMs = 0;
+    for (int reload : reloads) {
       List<String> names = new ArrayList<>();
       List<RequestClass> types = new ArrayList<>();
       for (int i = 0; i < 5; i++) {
-        if ((day >> i & 1) != 0 || i == 0) {
+        if ((reload >> i & 1) != 0 || i == 0) {
           names.add("n" + i);
-          types.add(type((day >> 5 + i & 1) != 0 ? Effect.ONCE : Effect.BY_KEY, 1 + day));
+          types.add(type((reload >> 5 + i & 1) != 0 ? Effect.ONCE : Effect.BY_KEY, 1 + reload));
         }
       }
-      ClassRegistry next = book.reloaded(names, types, now);
-      for (int place = 0; place < book.names().size(); place++) {
-        assertThat(next.names().get(place)).isEqualTo(book.names().get(place));
-        assertThat(next.type(place).effect()).isEqualTo(book.type(place).effect());
+      ClassRegistry next = registry.reloaded(names, types, nowMs);
+      for (int index = 0; index < registry.names().size(); index++) {
+        assertThat(next.names().get(index)).isEqualTo(registry.names().get(index));
+        assertThat(next.type(index).effect()).isEqualTo(registry.type(index).effect());
       }
       for (int i = 0; i < names.size(); i++) {
-        Effect form = types.get(i).effect();
-        int place = next.find(names.get(i), form, now);
-        assertThat(next.names().get(place)).isEqualTo(names.get(i));
-        assertThat(next.type(place)).isEqualTo(types.get(i));
+        Effect effect = types.get(i).effect();
+        int index = next.find(names.get(i), effect, nowMs);
+        assertThat(next.names().get(index)).isEqualTo(names.get(i));
+        assertThat(next.type(index)).isEqualTo(types.get(i));
         // Once all have heard, the other form gets the present class too, and its refusal.
-        Effect other = form == Effect.ONCE ? Effect.BY_KEY : Effect.ONCE;
-        double later = now + ClassRegistry.GRACE_MS + 1;
-        assertThat(next.find(names.get(i), other, later)).isEqualTo(place);
+        Effect other = effect == Effect.ONCE ? Effect.BY_KEY : Effect.ONCE;
+        double later = nowMs + ClassRegistry.REMOVAL_GRACE_MS + 1;
+        assertThat(next.find(names.get(i), other, later)).isEqualTo(index);
       }
       for (int i = 0; i < 5; i++) {
         if (!names.contains("n" + i)) {
-          double later = now + ClassRegistry.GRACE_MS + 1;
+          double later = nowMs + ClassRegistry.REMOVAL_GRACE_MS + 1;
           assertThat(next.find("n" + i, Effect.ONCE, later)).isEqualTo(-1);
         }
       }
-      book = next;
-      now += day;
+      registry = next;
+      nowMs += reload;
     }
   }
 
   @Test
-  void aDroppedClassCanBeAskedForUntilClientsHaveHeard() {
-    ClassRegistry book =
+  void findsRemovedClassDuringGracePeriod() {
+    ClassRegistry registry =
         ClassRegistry.of(List.of("a", "b"), List.of(type(Effect.ONCE, 9), type(Effect.ONCE, 5)));
-    ClassRegistry next = book.reloaded(List.of("b"), List.of(type(Effect.BY_KEY, 3)), 100);
-    double end = 100 + ClassRegistry.GRACE_MS;
+    ClassRegistry next = registry.reloaded(List.of("b"), List.of(type(Effect.BY_KEY, 3)), 100);
+    double end = 100 + ClassRegistry.REMOVAL_GRACE_MS;
     assertThat(next.find("a", Effect.ONCE, end)).isZero();
     assertThat(next.find("a", Effect.ONCE, end + 1)).isEqualTo(-1);
     assertThat(next.find("b", Effect.ONCE, end)).isEqualTo(1);
@@ -77,23 +77,24 @@
   }
 
   @Test
-  void placesAreBoundedAndTooManyClassesAtATimeAreAnError() {
+  void boundsEntriesAndRejectsTooManyClasses() {
     RequestClass type = type(Effect.ONCE, 1);
-    ClassRegistry book = ClassRegistry.of(List.of("first"), List.of(type));
-    double now = 0;
+    ClassRegistry registry = ClassRegistry.of(List.of("first"), List.of(type));
+    double nowMs = 0;
     for (int i = 0; i < 1_000; i++) {
-      now += ClassRegistry.GRACE_MS + 1;
-      book = book.reloaded(List.of("n" + i), List.of(type), now);
-      assertThat(book.find("n" + i, Effect.ONCE, now)).isNotNegative();
-      assertThat(book.types()).hasSizeLessThanOrEqualTo(ClassRegistry.MOST_PLACES);
+      nowMs += ClassRegistry.REMOVAL_GRACE_MS + 1;
+      registry = registry.reloaded(List.of("n" + i), List.of(type), nowMs);
+      assertThat(registry.find("n" + i, Effect.ONCE, nowMs)).isNotNegative();
+      assertThat(registry.types()).hasSizeLessThanOrEqualTo(ClassRegistry.MAX_ENTRIES);
     }
     List<String> many =
-        IntStream.rangeClosed(0, ClassRegistry.MOST_PLACES).mapToObj(i -> "m" + i).toList();
+        IntStream.rangeClosed(0, ClassRegistry.MAX_ENTRIES).mapToObj(i -> "m" + i).toList();
     List<RequestClass> types = many.stream().map(name -> type).toList();
-    ClassRegistry full = book;
-    double then = now + 5_000;
-    assertThatThrownBy(() -> full.reloaded(many, types, then)).hasMessageContaining("64 classes");
-    assertThatThrownBy(() -> full.reloaded(List.of("x", "x"), List.of(type, type), then))
+    ClassRegistry full = registry;
+    double laterMs = nowMs + 5_000;
+    assertThatThrownBy(() -> full.reloaded(many, types, laterMs))
+        .hasMessageContaining("64 classes");
+    assertThatThrownBy(() -> full.reloaded(List.of("x", "x"), List.of(type, type), laterMs))
         .hasMessageContaining("name");
   }
 }
--- a/src/test/java/hazelspoke/core/DeadlinesTest.java
+++ b/src/test/java/hazelspoke/core/DeadlineQueueTest.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class DeadlinesTest {
-  private static final class Entry extends Deadlines.Entry {
+class DeadlineQueueTest {
+  private static final class Entry extends DeadlineQueue.Entry {
     private final int number;
     private final double at;
 
@@ -23,58 +23,58 @@
     }
 
     @Override
-    void due() {
+    void onDue() {
       throw new AssertionError("not told by the heap itself");
     }
   }
 
   /** Held against a sorted list: each step puts one in, takes one back, or polls. */
   @Property(seed = "1")
-  void itComesOutAsFromASortedList(
+  void behavesLikeSortedList(
       @ForAll @Size(max = 400) List<@IntRange(min = 0, max = 99) Integer> steps) {
-    Deadlines deadlines = new Deadlines();
+    DeadlineQueue queue = new DeadlineQueue();
     List<Entry> model = new ArrayList<>();
     int number = 0;
     for (int step : steps) {
       if (step < 50 || model.isEmpty()) {
         Entry entry = new Entry(number++, step % 7);
-        deadlines.add(entry, entry.at);
+        queue.add(entry, entry.at);
         model.add(entry);
         model.sort(Comparator.comparingDouble((Entry e) -> e.at).thenComparing(e -> e.number));
       } else if (step < 75) {
-        deadlines.remove(model.remove(step % model.size()));
+        queue.remove(model.remove(step % model.size()));
       } else {
         double now = step % 7;
         Entry expected = model.get(0).at <= now ? model.remove(0) : null;
-        assertThat(deadlines.pollDue(now)).isSameAs(expected);
+        assertThat(queue.pollDue(now)).isSameAs(expected);
       }
-      assertThat(deadlines.size()).isEqualTo(model.size());
-      assertThat(deadlines.nextMs())
+      assertThat(queue.size()).isEqualTo(model.size());
+      assertThat(queue.nextMs())
           .isEqualTo(model.isEmpty() ? Double.POSITIVE_INFINITY : model.get(0).at);
     }
   }
 
   @Test
-  void whatWasTakenBackMayBePutInAgainAndWhatIsInMayNot() {
-    Deadlines deadlines = new Deadlines();
+  void acceptsRemovedEntryAgainAndRejectsQueuedOne() {
+    DeadlineQueue queue = new DeadlineQueue();
     Entry entry = new Entry(0, 0);
-    deadlines.remove(entry);
-    deadlines.add(entry, 5);
-    assertThatThrownBy(() -> deadlines.add(entry, 6)).isInstanceOf(IllegalStateException.class);
-    deadlines.remove(entry);
-    deadlines.add(entry, 7);
-    assertThat(deadlines.nextMs()).isEqualTo(7);
+    queue.remove(entry);
+    queue.add(entry, 5);
+    assertThatThrownBy(() -> queue.add(entry, 6)).isInstanceOf(IllegalStateException.class);
+    queue.remove(entry);
+    queue.add(entry, 7);
+    assertThat(queue.nextMs()).isEqualTo(7);
   }
 
   @Test
-  void tenThousandOfTheSameMillisecondComeInTheirOrder() {
-    Deadlines deadlines = new Deadlines();
+  void keepsInsertionOrderForEqualTimes() {
+    DeadlineQueue queue = new DeadlineQueue();
     for (int i = 0; i < 10_000; i++) {
-      deadlines.add(new Entry(i, 3), 3);
+      queue.add(new Entry(i, 3), 3);
     }
     for (int i = 0; i < 10_000; i++) {
-      assertThat(((Entry) deadlines.pollDue(3)).number).isEqualTo(i);
+      assertThat(((Entry) queue.pollDue(3)).number).isEqualTo(i);
     }
-    assertThat(deadlines.pollDue(3)).isNull();
+    assertThat(queue.pollDue(3)).isNull();
   }
 }
--- a/src/test/java/hazelspoke/core/DispatcherFixture.java
+++ b/src/test/java/hazelspoke/core/DispatcherFixture.java
@@ -26,7 +26,7 @@
   /** An asker; keeps what it was answered. */
   static final class RecordingClient implements Client {
     final List<Answer> answers = new ArrayList<>();
-    boolean gone;
+    boolean disconnected;
     Request request;
     Exchange exchange;
 
@@ -46,7 +46,7 @@
   final class Call implements CallHandle {
     final HostCall call;
     boolean sent;
-    boolean over;
+    boolean ended;
 
     Call(HostCall call) {
       this.call = call;
@@ -64,7 +64,7 @@
 
     @Override
     public void cancel() {
-      over = true;
+      ended = true;
       calls.remove(this);
     }
 
@@ -76,17 +76,17 @@
           throw new AssertionError("something goes out for a request that has ended");
         }
         written.add(call.request());
-        remaining.add(call.remainingMs());
+        remainingMs.add(call.remainingMs());
       }
     }
 
     void end(Result result) {
       calls.remove(this);
-      over = true;
+      ended = true;
       if (result == Result.OK) {
         write();
         Body body = new Body();
-        ByteBudget.Share share = answers.share(() -> {});
+        ByteBudget.Share share = responseBudget.share(() -> {});
         share.add(7);
         call.onAnswer(new Metadata(), "", body, share);
       } else {
@@ -98,14 +98,14 @@
   final MockTicker ticker = Ticker.newMockTicker();
   final EmbeddedChannel channel = EmbeddedChannel.builder().ticker(ticker).build();
   final ByteArrayOutputStream log = new ByteArrayOutputStream();
-  final ByteBudget bodies = new ByteBudget(1 << 20);
-  final ByteBudget answers = new ByteBudget(1 << 20);
+  final ByteBudget requestBudget = new ByteBudget(1 << 20);
+  final ByteBudget responseBudget = new ByteBudget(1 << 20);
   final List<Call> calls = new ArrayList<>();
   final List<Request> written = new ArrayList<>();
-  final List<Double> remaining = new ArrayList<>();
+  final List<Double> remainingMs = new ArrayList<>();
   final Dispatcher dispatcher;
   final Clock clock = new Clock(ticker);
-  private int asked;
+  private int requestCount;
 
   DispatcherFixture(int openCap, Function<Actions, Balancer> module) {
     dispatcher =
@@ -146,13 +146,13 @@
   }
 
   /** A request with a body, whole and handed over. */
-  RecordingClient ask() {
-    RecordingClient asker = new RecordingClient();
-    ByteBudget.Share share = bodies.share(() -> {});
+  RecordingClient sendRequest() {
+    RecordingClient client = new RecordingClient();
+    ByteBudget.Share share = requestBudget.share(() -> {});
     share.add(100);
     Request request =
         new Request(
-            "t" + asked++,
+            "t" + requestCount++,
             0,
             Effect.REPEATABLE,
             0,
@@ -163,27 +163,27 @@
             "/look",
             new Metadata(),
             new Body());
-    asker.request = request;
-    asker.exchange = new Exchange(request, asker, share);
-    dispatcher.onRequest(asker.exchange);
-    return asker;
+    client.request = request;
+    client.exchange = new Exchange(request, client, share);
+    dispatcher.onRequest(client.exchange);
+    return client;
   }
 
-  void leave(RecordingClient asker) {
-    asker.gone = true;
-    dispatcher.onClientDisconnected(asker.exchange);
+  void disconnect(RecordingClient client) {
+    client.disconnected = true;
+    dispatcher.onClientDisconnected(client.exchange);
   }
 
   /** Lets time pass, step by step as a loop would. */
-  void pass(long ms) {
+  void advance(long ms) {
     for (long i = 0; i < ms; i++) {
       ticker.advanceMillis(1);
-      turn();
+      runLoop();
     }
   }
 
   /** One turn of the loop, and those that follow from it at once. */
-  void turn() {
+  void runLoop() {
     channel.runScheduledPendingTasks();
     channel.runPendingTasks();
   }
--- a/src/test/java/hazelspoke/core/ShutdownDeadlineTest.java
+++ b/src/test/java/hazelspoke/core/ShutdownDeadlineTest.java
@@ -6,42 +6,43 @@
 
 /** The process has to have answered everything by a time that is sooner than the deadlines. */
 class ShutdownDeadlineTest {
-  private static final long LEFT_MS = 200;
+  private static final long SHUTDOWN_MS = 200;
 
-  private final DispatcherFixture rig = new DispatcherFixture(10, DispatcherTest.Plain::new);
+  private final DispatcherFixture fixture =
+      new DispatcherFixture(10, DispatcherTest.SingleAttemptBalancer::new);
 
-  private void end() {
-    rig.dispatcher.setShutdownDeadline(rig.clock.nowMs() + LEFT_MS);
+  private void beginShutdown() {
+    fixture.dispatcher.setShutdownDeadline(fixture.clock.nowMs() + SHUTDOWN_MS);
   }
 
   @Test
-  void whatIsInHandIsAnsweredByThen() {
-    DispatcherFixture.RecordingClient asker = rig.ask();
-    rig.turn();
-    rig.calls.get(0).write();
-    end();
-    rig.pass(LEFT_MS + (long) Dispatcher.OVERDUE_GRACE_MS + 1);
-    assertThat(asker.answers).hasSize(1);
-    assertThat(asker.answers.get(0).outcome()).isEqualTo(Answer.Outcome.FAILED);
+  void failsOpenRequestsByTheShutdownDeadline() {
+    DispatcherFixture.RecordingClient client = fixture.sendRequest();
+    fixture.runLoop();
+    fixture.calls.get(0).write();
+    beginShutdown();
+    fixture.advance(SHUTDOWN_MS + (long) Dispatcher.OVERDUE_GRACE_MS + 1);
+    assertThat(client.answers).hasSize(1);
+    assertThat(client.answers.get(0).outcome()).isEqualTo(Answer.Outcome.FAILED);
   }
 
   @Test
-  void noHostIsToldThatThereIsMoreTime() {
-    end();
-    rig.ask();
-    rig.turn();
-    rig.calls.get(0).write();
-    assertThat(rig.remaining).hasSize(1);
-    assertThat(rig.remaining.get(0)).isPositive().isLessThanOrEqualTo(LEFT_MS);
+  void reportsNoMoreThanTheShutdownTimeToHosts() {
+    beginShutdown();
+    fixture.sendRequest();
+    fixture.runLoop();
+    fixture.calls.get(0).write();
+    assertThat(fixture.remainingMs).hasSize(1);
+    assertThat(fixture.remainingMs.get(0)).isPositive().isLessThanOrEqualTo(SHUTDOWN_MS);
   }
 
   @Test
-  void whatComesWhenItIsOverIsNotSentOn() {
-    end();
-    rig.pass(LEFT_MS);
-    DispatcherFixture.RecordingClient late = rig.ask();
-    rig.pass(2 * (long) Dispatcher.OVERDUE_GRACE_MS);
-    assertThat(rig.written).isEmpty();
+  void doesNotForwardRequestsAfterTheShutdownDeadline() {
+    beginShutdown();
+    fixture.advance(SHUTDOWN_MS);
+    DispatcherFixture.RecordingClient late = fixture.sendRequest();
+    fixture.advance(2 * (long) Dispatcher.OVERDUE_GRACE_MS);
+    assertThat(fixture.written).isEmpty();
     assertThat(late.answers).hasSize(1);
   }
 }
--- a/src/test/java/hazelspoke/net/EventLoopsTest.java
+++ b/src/test/java/hazelspoke/net/EventLoopsTest.java
@@ -73,7 +73,7 @@
     "-7, -7",
     "9223372036854775807, 9223372036854775807"
   })
-  void aLoopWaitsForItsNextTimerRatherThanSpin(long delayNanos, long waited) {
+  void roundsDelayUpToWholeMilliseconds(long delayNanos, long waited) {
     Recording handler = new Recording();
     EventLoops.withoutBusyPolling(executor -> handler)
         .newHandler(null)
--- a/src/test/java/hazelspoke/net/SocketPollingTest.java
+++ b/src/test/java/hazelspoke/net/SocketPollingTest.java
@@ -24,7 +24,7 @@
 
 /** What is done after reading knows what peers have said, wherever the loop stood still. */
 class SocketPollingTest {
-  private static final int PATIENCE_S = 30;
+  private static final int TIMEOUT_S = 30;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -53,9 +53,9 @@
         .channel();
   }
 
-  private static void hold(CountDownLatch until) {
+  private static void await(CountDownLatch latch) {
     try {
-      until.await(PATIENCE_S, TimeUnit.SECONDS);
+      latch.await(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -63,61 +63,62 @@
 
   /** The look has been taken, and something else of the same turn stands still before the task. */
   @Test
-  void bytesThatComeWhileTheLoopStandsStillBehindTheLookAreRead() throws Exception {
+  void readsBytesThatArriveWhileLoopIsStalledAfterPoll() throws Exception {
     InetSocketAddress address = (InetSocketAddress) listen().localAddress();
     try (Socket peer = new Socket(address.getAddress(), address.getPort())) {
       peer.getOutputStream().write('a');
       awaitRead(1);
-      CountDownLatch standing = new CountDownLatch(1);
-      CountDownLatch goOn = new CountDownLatch(1);
+      CountDownLatch stalled = new CountDownLatch(1);
+      CountDownLatch resume = new CountDownLatch(1);
       CompletableFuture<Integer> readBefore = new CompletableFuture<>();
       loop.execute(
           () -> {
             // Both are due in the next turn, this one first.
-            loop.execute(() -> loop.schedule(() -> stand(standing, goOn), 0, TimeUnit.NANOSECONDS));
+            loop.execute(
+                () -> loop.schedule(() -> stall(stalled, resume), 0, TimeUnit.NANOSECONDS));
             SocketPolling.afterPoll(loop, () -> readBefore.complete(bytesRead.get()));
           });
-      hold(standing);
+      await(stalled);
       peer.getOutputStream().write('b');
       // Far longer than a look stays good; that it is longer is all that counts.
       TimeUnit.MILLISECONDS.sleep(4 * SocketPolling.MAX_POLL_AGE_MS);
-      goOn.countDown();
-      assertThat(readBefore.get(PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(2);
+      resume.countDown();
+      assertThat(readBefore.get(TIMEOUT_S, TimeUnit.SECONDS)).isEqualTo(2);
     }
   }
 
-  private static void stand(CountDownLatch standing, CountDownLatch goOn) {
-    standing.countDown();
-    hold(goOn);
+  private static void stall(CountDownLatch stalled, CountDownLatch resume) {
+    stalled.countDown();
+    await(resume);
   }
 
   /** Every turn is long: the task still gets its turn, after so many looks. */
   @Test
-  void aLoopWhoseEveryTurnIsLongGetsOn() throws Exception {
+  void runsTaskThoughEveryIterationIsLong() throws Exception {
     AtomicInteger stalls = new AtomicInteger();
     CompletableFuture<Integer> stallsBefore = new CompletableFuture<>();
     loop.execute(
         () -> {
-          stallEveryTurn(stalls);
+          stallEveryIteration(stalls);
           SocketPolling.afterPoll(loop, () -> stallsBefore.complete(stalls.get()));
         });
-    assertThat(stallsBefore.get(PATIENCE_S, TimeUnit.SECONDS)).isLessThan(100);
+    assertThat(stallsBefore.get(TIMEOUT_S, TimeUnit.SECONDS)).isLessThan(100);
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
-  private void stallEveryTurn(AtomicInteger stalls) {
+  private void stallEveryIteration(AtomicInteger stalls) {
     if (!loop.isShuttingDown() && stalls.incrementAndGet() < 1_000) {
       long end =
           System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * SocketPolling.MAX_POLL_AGE_MS);
       while (System.nanoTime() < end) {
         Thread.onSpinWait();
       }
-      loop.schedule(() -> stallEveryTurn(stalls), 0, TimeUnit.NANOSECONDS);
+      loop.schedule(() -> stallEveryIteration(stalls), 0, TimeUnit.NANOSECONDS);
     }
   }
 
   private void awaitRead(int bytes) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (bytesRead.get() < bytes) {
       assertThat(System.nanoTime()).isLessThan(end);
       Thread.sleep(1);
