--- a/src/main/java/hazelspoke/core/Dispatcher.java
+++ b/src/main/java/hazelspoke/core/Dispatcher.java
@@ -150,7 +150,7 @@
   private void failRequest(Exchange exchange) {
     if (!exchange.ended) {
       answer(exchange, Answer.failed(false));
-      callBalancer(null, () -> balancer.onClientGone(clock.nowMs(), exchange.id));
+      callBalancer(null, () -> balancer.onClientDisconnected(clock.nowMs(), exchange.id));
       List.copyOf(exchange.attempts).forEach(Attempt::cancel);
     }
   }
@@ -171,13 +171,13 @@
       }
     }
     // Its address has another host now, whatever the list says of it yet.
-    displacedHosts.forEach(entry -> entries.add(entry.as(Availability.GONE)));
+    displacedHosts.forEach(entry -> entries.add(entry.withAvailability(Availability.GONE)));
     if (kind == MembersUpdate.Kind.FULL) {
       hosts.retainOnly(entries.stream().map(HostEntry::host).collect(Collectors.toSet()));
     }
     MembersUpdate event = new MembersUpdate(kind, update.version(), entries);
     callBalancer(null, () -> balancer.onMembers(clock.nowMs(), event));
-    if (kind.isNews()) {
+    if (kind.hasEntries()) {
       cancelUnsentToUnavailable(kind, entries);
     }
   }
@@ -338,7 +338,7 @@
     boolean sent = exchange.attempts.stream().anyMatch(Attempt::isFullySent);
     end(exchange);
     meter.onClientDisconnected(sent);
-    callBalancer(exchange, () -> balancer.onClientGone(clock.nowMs(), exchange.id));
+    callBalancer(exchange, () -> balancer.onClientDisconnected(clock.nowMs(), exchange.id));
   }
 
   private void end(Exchange exchange) {
@@ -398,7 +398,7 @@
     double deadlineMs = Double.POSITIVE_INFINITY;
     if (!exchange.ended && exchange.request().effect() == Settings.Effect.BY_KEY) {
       int requestClass = exchange.request().requestClass();
-      double windowMs = settings.classes().get(requestClass).windowMs() - settings.tickMs();
+      double windowMs = settings.classes().get(requestClass).dedupWindowMs() - settings.tickMs();
       for (Attempt earlier : exchange.attempts) {
         if (earlier.mayHaveRun()) {
           deadlineMs = Math.min(deadlineMs, earlier.startedAtMs() + windowMs);
@@ -409,7 +409,7 @@
   }
 
   @Override
-  public void refuse(String requestId, double retryAfterMs) {
+  public void reject(String requestId, double retryAfterMs) {
     Exchange exchange = exchanges.get(requestId);
     if (exchange != null) {
       answer(exchange, Answer.refused(retryAfterMs));
@@ -475,7 +475,7 @@
 
   /** No site that this gateway is built for lets gateways talk to one another. */
   @Override
-  public void tellPeer(int peer, String data) {
+  public void sendToPeer(int peer, String data) {
     log.line("a message to a peer was dropped: there is no way to one");
   }
 
--- a/src/main/java/ternscale/api/Settings.java
+++ b/src/main/java/ternscale/api/Settings.java
@@ -3,37 +3,37 @@
 import java.util.List;
 import java.util.Objects;
 
-/** What a gateway is told when it starts. All times are in milliseconds. */
+/** The settings of a gateway. All times are in milliseconds. */
 public record Settings(
-    int me,
-    int instances,
+    int instanceIndex,
+    int instanceCount,
     int zone,
-    int zones,
+    int zoneCount,
     double tickMs,
     List<RequestClass> classes,
     List<Tenant> tenants,
-    double overShareWorth,
-    boolean worthByWork,
+    double overQuotaValueFactor,
+    boolean valueByWork,
     Discovery discovery,
-    boolean hostsRememberKeys,
+    boolean hostsCacheByKey,
     boolean clientsMarkRetries,
     Limits limits,
     Rules rules,
-    Prices prices,
-    Goal goal,
+    Costs costs,
+    Objective objective,
     ReportMode reportMode,
     List<ReportField> reportFields,
     WeightMeaning weightMeaning) {
 
-  /** How hosts that see a request twice treat the repeat. */
+  /** How hosts treat a duplicate of a request. */
   public enum Effect {
     REPEATABLE,
     BY_KEY,
     ONCE
   }
 
-  /** The hosts that together drop a repeat. */
-  public enum Group {
+  /** The set of hosts that share the memory by which duplicates are dropped. */
+  public enum DedupScope {
     ALL,
     ZONE,
     CELL
@@ -45,14 +45,14 @@
     ON_REQUEST
   }
 
-  /** Where load reports come from. */
+  /** How load reports arrive. */
   public enum ReportMode {
     WITH_ANSWERS,
     WITH_PROBES,
     NONE
   }
 
-  /** The values of a load report; {@code OTHER} is one this library does not know. */
+  /** The columns of a load report; {@code OTHER} is an unknown one. */
   public enum ReportField {
     IN_FLIGHT,
     QUEUE,
@@ -63,7 +63,7 @@
     OTHER
   }
 
-  /** What a listed weight stands for. */
+  /** The meaning of a listed weight. */
   public enum WeightMeaning {
     NONE,
     NOMINAL,
@@ -71,28 +71,36 @@
     LIVE
   }
 
-  /** A class of requests. */
+  /**
+   * A class of requests.
+   *
+   * @param targetLatencyMs latency up to which a response has its full value
+   * @param targetLatencyPerCostMs increase of that target for each unit of the cost hint
+   * @param value value of a response in time, per unit of work
+   * @param lateValueFactor fraction of the value that a late response keeps
+   * @param dedupWindowMs how long hosts remember a request to drop duplicates of it
+   */
   public record RequestClass(
-      double aimMs,
-      double aimStretch,
+      double targetLatencyMs,
+      double targetLatencyPerCostMs,
       double deadlineMs,
-      double worth,
-      double lateWorth,
+      double value,
+      double lateValueFactor,
       Effect effect,
-      Group group,
-      double windowMs,
-      boolean stream) {
+      DedupScope dedupScope,
+      double dedupWindowMs,
+      boolean isStream) {
     public RequestClass {
       Objects.requireNonNull(effect, "effect");
-      Objects.requireNonNull(group, "group");
-      require(aimMs > 0, "aim must be above 0", aimMs);
+      Objects.requireNonNull(dedupScope, "group");
+      require(targetLatencyMs > 0, "aim must be above 0", targetLatencyMs);
       require(deadlineMs > 0, "deadline must be above 0", deadlineMs);
-      require(worth >= 0, "worth must not be negative", worth);
-      require(windowMs >= 0, "window must not be negative", windowMs);
+      require(value >= 0, "worth must not be negative", value);
+      require(dedupWindowMs >= 0, "window must not be negative", dedupWindowMs);
     }
   }
 
-  /** A customer and its share of the service; {@code quotaRps} of 0 means no quota. */
+  /** A tenant and its share of the service; a {@code quotaRps} of 0 means no quota. */
   public record Tenant(double share, double quotaRps) {
     public Tenant {
       require(share >= 0, "tenant share must not be negative", share);
@@ -100,14 +108,14 @@
     }
   }
 
-  /** What the deployment permits. */
+  /** Limits and optional features of the deployment. */
   public record Limits(
       int maxAttempts,
-      boolean secondCopies,
+      boolean mayHedge,
       boolean mayProbe,
       boolean mayCancel,
-      boolean peers,
-      boolean retryAfter,
+      boolean peerMessages,
+      boolean sendsRetryAfter,
       double maxRetryAfterMs,
       double connectTimeoutMs,
       double idleConnectionMs,
@@ -117,35 +125,51 @@
     }
   }
 
-  /** The figures of the rules every gateway keeps. */
+  /**
+   * Parameters of the rules that every gateway must follow.
+   *
+   * @param initialCapacityShare share of its capacity that a host has right after its start
+   * @param slowStartMs time after which a host has its full capacity
+   * @param overloadMultiple multiple of its current capacity beyond which a cold host is overloaded
+   * @param overloadMs length of the window over which that load is measured
+   * @param responseGraceMs time after its deadline within which a request may be answered
+   * @param maxPollIntervalMs maximum time without an update where discovery answers on request
+   */
   public record Rules(
-      double coldFrom,
-      double coldMs,
-      double fallMultiple,
-      double fallMs,
+      double initialCapacityShare,
+      double slowStartMs,
+      double overloadMultiple,
+      double overloadMs,
       double drainGraceMs,
-      double answerGraceMs,
-      double mustAskInMs) {
+      double responseGraceMs,
+      double maxPollIntervalMs) {
     public Rules {
-      require(coldFrom > 0 && coldFrom <= 1, "cold share must lie in (0, 1]", coldFrom);
-      require(coldMs >= 0, "cold time must not be negative", coldMs);
-      require(fallMultiple > 0, "fall multiple must be above 0", fallMultiple);
-      require(fallMs >= 0, "fall time must not be negative", fallMs);
+      require(
+          initialCapacityShare > 0 && initialCapacityShare <= 1,
+          "cold share must lie in (0, 1]",
+          initialCapacityShare);
+      require(slowStartMs >= 0, "cold time must not be negative", slowStartMs);
+      require(overloadMultiple > 0, "fall multiple must be above 0", overloadMultiple);
+      require(overloadMs >= 0, "fall time must not be negative", overloadMs);
     }
   }
 
-  /** What side effects cost, in points of the result per unit. */
-  public record Prices(
-      double crossZone, double probe, double waste, double lateFail, double handshake) {}
+  /** Costs of side effects, in points of the objective per unit. */
+  public record Costs(
+      double crossZone, double probe, double wastedWork, double lateFailure, double handshake) {}
 
-  /** How the result is mixed. */
-  public record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
+  /** Weights of the parts of the objective. */
+  public record Objective(
+      double overall, double worstWindow, double worstClass, double worstTenant) {}
 
   public Settings {
-    require(instances >= 1, "instances must be 1 or more", instances);
-    require(me >= 0 && me < instances, "own number must lie below " + instances, me);
-    require(zones >= 1, "zones must be 1 or more", zones);
-    require(zone >= 0 && zone < zones, "own zone must lie below " + zones, zone);
+    require(instanceCount >= 1, "instances must be 1 or more", instanceCount);
+    require(
+        instanceIndex >= 0 && instanceIndex < instanceCount,
+        "own number must lie below " + instanceCount,
+        instanceIndex);
+    require(zoneCount >= 1, "zones must be 1 or more", zoneCount);
+    require(zone >= 0 && zone < zoneCount, "own zone must lie below " + zoneCount, zone);
     require(tickMs >= 0, "tick must not be negative", tickMs);
     classes = List.copyOf(classes);
     tenants = List.copyOf(tenants);
@@ -154,8 +178,8 @@
     Objects.requireNonNull(discovery, "discovery");
     Objects.requireNonNull(limits, "limits");
     Objects.requireNonNull(rules, "rules");
-    Objects.requireNonNull(prices, "prices");
-    Objects.requireNonNull(goal, "goal");
+    Objects.requireNonNull(costs, "prices");
+    Objects.requireNonNull(objective, "goal");
     Objects.requireNonNull(reportMode, "reportMode");
     Objects.requireNonNull(weightMeaning, "weightMeaning");
   }
@@ -163,22 +187,22 @@
   /** These settings with other classes and limits. */
   public Settings with(List<RequestClass> otherClasses, Limits otherLimits) {
     return new Settings(
-        me,
-        instances,
+        instanceIndex,
+        instanceCount,
         zone,
-        zones,
+        zoneCount,
         tickMs,
         otherClasses,
         tenants,
-        overShareWorth,
-        worthByWork,
+        overQuotaValueFactor,
+        valueByWork,
         discovery,
-        hostsRememberKeys,
+        hostsCacheByKey,
         clientsMarkRetries,
         otherLimits,
         rules,
-        prices,
-        goal,
+        costs,
+        objective,
         reportMode,
         reportFields,
         weightMeaning);
--- a/src/test/java/hazelspoke/node/SignalsTest.java
+++ b/src/test/java/hazelspoke/node/SignalsTest.java
@@ -23,9 +23,9 @@
   private static void reloads(Path folder, String shell, boolean says) throws Exception {
     try (FakeServer first = host("first");
         FakeServer second = host("second");
-        LiveList before = new LiveList(Rig.list(1, first));
-        LiveList after =
-            new LiveList(
+        FakeDiscovery before = new FakeDiscovery(Rig.list(1, first));
+        FakeDiscovery after =
+            new FakeDiscovery(
                 Rig.list(
                     1,
                     true,
@@ -49,7 +49,7 @@
   }
 
   private static FakeServer host(String text) throws Exception {
-    return new FakeServer((head, out) -> FakeServer.answer(out, FakeServer.ok(text)));
+    return new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok(text)));
   }
 
   @Test
@@ -90,7 +90,7 @@
   void aFileCountsAsChangedOnceItStandsStill(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("config.json");
     Files.writeString(file, "one");
-    FileWatch watch = new FileWatch(file.toString());
+    FileWatcher watch = new FileWatcher(file.toString());
     assertThat(watch.hasChanged()).isFalse();
     for (int i = 0; i < 3; i++) {
       Files.writeString(file, "longer and longer".repeat(i + 1));
@@ -108,6 +108,6 @@
     Files.delete(file);
     assertThat(watch.hasChanged()).isFalse();
     assertThat(watch.hasChanged()).isTrue();
-    assertThat(new FileWatch(null).hasChanged()).isFalse();
+    assertThat(new FileWatcher(null).hasChanged()).isFalse();
   }
 }
--- a/src/test/java/hazelspoke/node/TakeoverTest.java
+++ b/src/test/java/hazelspoke/node/TakeoverTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import hazelspoke.net.Transport;
-import hazelspoke.takeover.Succession;
+import hazelspoke.takeover.ServingPidFile;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.Socket;
@@ -27,9 +27,9 @@
     Gateway next =
         new Gateway(
             GatewayConfig.read(rig.environment), new PrintStream(rig.log, true), Transport.TCP);
-    next.mostDeadlineMs = Rig.PATIENCE_MS;
-    next.openToOperators();
-    next.joinSuccession(rig.succession(2));
+    next.maxDeadlineMs = Rig.PATIENCE_MS;
+    next.openManagement();
+    next.setPidFile(rig.succession(2));
     next.start();
     return next;
   }
@@ -39,7 +39,7 @@
   void whoWaitsToBeAcceptedByTheOldOneIsServedAndWhoComesThenMeetsTheNew() throws Exception {
     CountDownLatch goOn = new CountDownLatch(1);
     List<Socket> waiting = new ArrayList<>();
-    try (FakeServer host = Rig.holdingHost("/dispatch/wait", goOn);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", goOn);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(300, discovery, host);
         Socket held = rig.connect();
@@ -52,13 +52,13 @@
       Gateway next = successor(rig, discovery);
       Rig.await("the new one watches at once", () -> discovery.heads.size() == 2);
       CountDownLatch busy = new CountDownLatch(1);
-      rig.gateway.loop.execute(() -> Rig.hold(busy));
+      rig.gateway.loop.execute(() -> Rig.awaitLatch(busy));
       for (int i = 0; i < 40; i++) {
         Socket socket = rig.connect();
         waiting.add(socket);
         Rig.send(socket, Rig.dispatch(Rig.id(), ""));
       }
-      Thread leaving = new Thread(rig::leave);
+      Thread leaving = new Thread(rig::shutDown);
       leaving.start();
       Rig.await("told to leave", () -> leaving.getState() == Thread.State.TIMED_WAITING);
       busy.countDown();
@@ -67,15 +67,17 @@
       }
       Rig.await("the listener is closed", () -> rig.log.toString().contains("handing over"));
       for (int i = 0; i < 20; i++) {
-        assertThat(rig.ask(Rig.dispatch(Rig.id(), ""))).contains(" 200 ").doesNotContain("close");
-        assertThat(rig.ask(HEALTH)).contains(" 200 ");
+        assertThat(rig.request(Rig.dispatch(Rig.id(), "")))
+            .contains(" 200 ")
+            .doesNotContain("close");
+        assertThat(rig.request(HEALTH)).contains(" 200 ");
       }
       // Who rests may ask once more and is sent over with the answer.
       assertThat(resting.getInputStream().read()).isEqualTo(-1);
       goOn.countDown();
       assertThat(Rig.receive(held)).contains(" 200 ").containsIgnoringCase("connection: close");
       leaving.join();
-      assertThat(rig.ask(HEALTH)).contains(" 200 ");
+      assertThat(rig.request(HEALTH)).contains(" 200 ");
       next.stop();
     } finally {
       goOn.countDown();
@@ -88,27 +90,27 @@
   @Test
   void theLastThatBeganToServeFollowsAllOthersAsLongAsItRuns(@TempDir Path folder)
       throws IOException {
-    Succession first = new Succession(folder, "127.0.0.1-8081", 1, pid -> pid != 3);
-    assertThat(first.isFollowed()).isFalse();
+    ServingPidFile first = new ServingPidFile(folder, "127.0.0.1-8081", 1, pid -> pid != 3);
+    assertThat(first.hasSuccessor()).isFalse();
     assertThat(first.hasPredecessor()).isFalse();
-    first.serve();
-    assertThat(first.isFollowed()).isFalse();
-    Succession elsewhere = new Succession(folder, "127.0.0.1-8082", 7, pid -> true);
-    elsewhere.serve();
-    assertThat(first.isFollowed()).isFalse();
-    Succession second = new Succession(folder, "127.0.0.1-8081", 2, pid -> true);
+    first.claim();
+    assertThat(first.hasSuccessor()).isFalse();
+    ServingPidFile elsewhere = new ServingPidFile(folder, "127.0.0.1-8082", 7, pid -> true);
+    elsewhere.claim();
+    assertThat(first.hasSuccessor()).isFalse();
+    ServingPidFile second = new ServingPidFile(folder, "127.0.0.1-8081", 2, pid -> true);
     assertThat(second.hasPredecessor()).isTrue();
-    second.serve();
-    assertThat(first.isFollowed()).isTrue();
-    assertThat(second.isFollowed()).isFalse();
+    second.claim();
+    assertThat(first.hasSuccessor()).isTrue();
+    assertThat(second.hasSuccessor()).isFalse();
     // One that crashed after its start leaves its name behind.
-    new Succession(folder, "127.0.0.1-8081", 3, pid -> true).serve();
-    assertThat(first.isFollowed()).isFalse();
+    new ServingPidFile(folder, "127.0.0.1-8081", 3, pid -> true).claim();
+    assertThat(first.hasSuccessor()).isFalse();
     try (var files = Files.list(folder)) {
       for (Path file : files.toList()) {
         Files.writeString(file, "no number");
       }
     }
-    assertThat(second.isFollowed()).isFalse();
+    assertThat(second.hasSuccessor()).isFalse();
   }
 }
