--- a/src/main/java/hazelspoke/core/Answer.java
+++ b/src/main/java/hazelspoke/core/Answer.java
@@ -1,14 +1,16 @@
 package hazelspoke.core;
 
 /**
- * The one final answer to a request.
+ * The only final answer to a request.
  *
- * @param outcome what became of it
- * @param metadata of a host's answer; none of the gateway's own
- * @param body of a host's answer; empty otherwise
- * @param share counts the body; whoever is given the answer releases it once it is written, or null
- * @param retryAfterMs of a refusal: when to come back, in milliseconds; 0 gives no advice
- * @param deadlineExceeded of a failure: whether the client's time was up
+ * @param outcome the result of the request
+ * @param metadata metadata of a host's response; empty for answers of the gateway itself
+ * @param body body of a host's response; otherwise empty
+ * @param share counts the body against its budget, or null; the receiver of the answer releases it
+ *     after writing the body
+ * @param retryAfterMs for a refusal, the recommended delay before a retry in milliseconds; 0 for
+ *     none
+ * @param deadlineExceeded for a failure, whether the request's deadline had passed
  */
 public record Answer(
     Outcome outcome,
@@ -17,13 +19,13 @@
     ByteBudget.Share share,
     double retryAfterMs,
     boolean deadlineExceeded) {
-  /** What an answer promises. */
+  /** What an answer guarantees to the client. */
   public enum Outcome {
-    /** A host has run it; the answer is the host's. */
+    /** A host has executed the request; the answer is the host's response. */
     SERVED,
-    /** To ask again is harmless. */
+    /** The request was not executed, so a retry is harmless. */
     REFUSED,
-    /** It may have run. */
+    /** The request may have been executed. */
     FAILED
   }
 
--- a/src/main/java/hazelspoke/core/Attempt.java
+++ b/src/main/java/hazelspoke/core/Attempt.java
@@ -3,19 +3,22 @@
 import ternscale.api.Outcome.Result;
 
 /**
- * One attempt of a request at one host: started once, ended once, and cancelled where it may no
- * longer go out. Becomes due when it has timed out. On the loop.
+ * One attempt of a request at one host. It is started once, ends once, and is cancelled when it
+ * must not be sent any more. As a queue entry it becomes due when it times out. Confined to the
+ * event loop.
  */
 final class Attempt extends DeadlineQueue.Entry implements HostCall {
-  /** Told what becomes of attempts. */
+  /** Observes attempts. */
   interface Listener {
-    /** A host's whole answer has come; its request may have ended meanwhile. */
+    /**
+     * A complete response of a host has been received; its request may have ended in the meantime.
+     */
     void onHostAnswer(Exchange exchange, Answer answer);
 
     /**
-     * The attempt has ended, in whatever way.
+     * The attempt has ended, with any result.
      *
-     * @param loadReport the host's report of its load as text, empty when none came
+     * @param loadReport the host's load report as text, empty if none was received
      */
     void onAttemptEnded(Attempt attempt, Result result, String loadReport);
   }
@@ -28,22 +31,22 @@
   private final double startedAtMs;
   private final double lagAtStartMs;
 
-  /** Until when it may be written, on the clock. */
+  /** The time on the gateway's clock until which the attempt may be written. */
   private final double sendByMs;
 
   private HostTransport.CallHandle callHandle;
   private boolean ended;
 
-  /** Whether its last byte went out, whatever became of it. */
+  /** Whether the last byte was written, regardless of the result. */
   private boolean isFullySent;
 
-  /** Whether its host may have run it, or may yet. */
+  /** Whether the host may have executed the request or may still do so. */
   private boolean mayHaveRun = true;
 
-  /** Of a request that was not whole: how long its host waited for the last byte. */
+  /** For a request sent before it was complete: how long its host waited for the last byte. */
   private double uploadMs;
 
-  /** The next attempt of a request, which keeps count of them. */
+  /** Creates the next attempt of a request; its index is the number of attempts before it. */
   Attempt(
       CoreServices services, Listener listener, Exchange exchange, String host, double sendByMs) {
     this.services = services;
@@ -69,22 +72,25 @@
     return host;
   }
 
-  /** Its place among the attempts of its request, from 0. */
+  /** The index among the attempts of its request, starting at 0. */
   int index() {
     return index;
   }
 
-  /** When it was started, on the clock. */
+  /** The start time on the gateway's clock, in milliseconds. */
   double startedAtMs() {
     return startedAtMs;
   }
 
-  /** Since its start, in milliseconds. */
+  /** The time since the start, in milliseconds. */
   double elapsedMs() {
     return services.clock().nowMs() - startedAtMs;
   }
 
-  /** What of the time since its start was this gateway's or its client's, in milliseconds. */
+  /**
+   * The part of the time since the start that was caused by this gateway or its client, not by the
+   * host, in milliseconds.
+   */
   double gatewayDelayMs() {
     return Math.max(uploadMs, services.lag().totalLagMs() - lagAtStartMs);
   }
@@ -97,7 +103,7 @@
     return mayHaveRun;
   }
 
-  /** Times out so long from now on; never while the request is still coming. */
+  /** Sets the timeout, counted from now; infinite while the request is still being received. */
   void setTimeout(double timeoutMs) {
     if (!ended && timeoutMs < Double.POSITIVE_INFINITY) {
       services.timers().remove(this);
@@ -107,13 +113,16 @@
 
   @Override
   void onDue() {
-    // Given up before its last byte was written, it never ran.
+    // An attempt cancelled before its last byte was written was not executed.
     Result result = callHandle.isLastByteSent() ? Result.TIMEOUT : Result.CONNECT_FAILED;
     callHandle.cancel();
     end(result, "");
   }
 
-  /** Cancels it if nothing of it has been written: it never ran, and that is no host's fault. */
+  /**
+   * Cancels the attempt if none of its bytes has been written: it was not executed, and the host is
+   * not at fault.
+   */
   void cancelIfFirstByteUnsent() {
     if (!ended && callHandle != null && !callHandle.isFirstByteSent()) {
       callHandle.cancel();
@@ -121,14 +130,17 @@
     }
   }
 
-  /** Cancels it if its last byte has not been written. */
+  /** Cancels the attempt if its last byte has not been written. */
   void cancelIfLastByteUnsent() {
     if (callHandle != null && !ended && !callHandle.isLastByteSent()) {
       cancelAsync();
     }
   }
 
-  /** Cancels it at once as far as its host is concerned; its end is told on a later turn. */
+  /**
+   * Cancels the call to the host immediately; the end of the attempt is reported in a later
+   * event-loop iteration.
+   */
   void cancelAsync() {
     services.loop().execute(this::cancel);
     cancelCall();
@@ -147,7 +159,7 @@
     }
   }
 
-  /** It was not started, or not written. */
+  /** Ends an attempt that was not started or not written. */
   void endNotSent() {
     end(Result.NOT_SENT, "");
   }
--- a/src/main/java/hazelspoke/core/Body.java
+++ b/src/main/java/hazelspoke/core/Body.java
@@ -8,27 +8,30 @@
 import java.util.List;
 
 /**
- * The bytes of a body, copied out of the read buffers: pieces of a few bytes would otherwise each
- * keep a whole one. Of a large body only the beginning is held; the rest comes through an {@link
- * BodyStream}.
+ * The bytes of a body, copied out of the read buffers, because small slices would each retain an
+ * entire read buffer. Of a large body only the beginning is buffered; the remainder comes through a
+ * {@link BodyStream}.
  */
 public final class Body {
-  /** An answer of up to so many bytes is held until it is whole. */
+  /** A response of up to this size is buffered until it is complete. */
   public static final int MAX_BUFFERED_RESPONSE_BYTES = 65_536;
 
   /**
-   * And a request of up to so many while there is room: it can be tried again, and counts at no
-   * host before it can run there.
+   * A request of up to this size is buffered until it is complete while the budget allows it: a
+   * complete request can be retried, and does not count as in flight at a host before the host can
+   * execute it.
    */
   public static final int MAX_BUFFERED_REQUEST_BYTES = 262_144;
 
-  /** With little room left a request of more than this is passed on as it comes. */
+  /**
+   * When the budget is short, requests above this size are forwarded while they are being received.
+   */
   public static final int STREAMING_THRESHOLD_BYTES = 65_536;
 
-  /** The protocol allows no more, in either direction. */
+  /** The largest body that the protocol allows, in either direction. */
   public static final int MAX_BYTES = 32 << 20;
 
-  /** The length of a body whose sender has not told it. */
+  /** The length of a body whose sender has not declared it. */
   public static final long UNKNOWN_LENGTH = -1;
 
   private static final int INITIAL_CHUNK_BYTES = 512;
@@ -41,45 +44,49 @@
   private long totalLength;
 
   /**
-   * From now on what is held is the beginning only.
+   * Declares the buffered bytes to be only the beginning of the body.
    *
-   * @param whole the length of all of it in bytes, or {@link #UNKNOWN_LENGTH}
+   * @param stream the source of the remaining bytes
+   * @param bodyLength the total length of the body in bytes, or {@link #UNKNOWN_LENGTH}
    */
   public void setRemainder(BodyStream stream, long bodyLength) {
     remainder = stream;
     totalLength = bodyLength;
   }
 
-  /** What comes behind what is held; null when that is all. */
+  /** The bytes that follow the buffered ones, or null if the buffered ones are complete. */
   public BodyStream remainder() {
     return remainder;
   }
 
-  /** The length of all of it in bytes, or {@link #UNKNOWN_LENGTH}. */
+  /** The total length in bytes, or {@link #UNKNOWN_LENGTH}. */
   public long totalLength() {
     return remainder == null ? bufferedLength() : totalLength;
   }
 
-  /** Whether all of it can be written once more: it is held, or no rest has gone anywhere yet. */
+  /**
+   * Whether the complete body can be written again: all of it is buffered, or the remainder has not
+   * been attached to a sink.
+   */
   public boolean isRepeatable() {
     return remainder == null || !remainder.isAttached();
   }
 
-  /** What is held has been written, and will not be again. */
+  /** Releases the buffered bytes after they were written for the last time. */
   public void releaseBuffered() {
     fullChunks.clear();
     lastChunk = new byte[0];
     lastChunkLength = 0;
   }
 
-  /** Nobody wants it: the rest, if there is one, need not come. */
+  /** Discards the remainder, if there is one. */
   public void abandon() {
     if (remainder != null) {
       remainder.abandon();
     }
   }
 
-  /** What is held, in bytes. */
+  /** The number of buffered bytes. */
   public long bufferedLength() {
     return (long) fullChunks.size() * CHUNK_BYTES + lastChunkLength;
   }
@@ -106,13 +113,13 @@
     return new String(lastChunk, 0, lastChunkLength, StandardCharsets.UTF_8);
   }
 
-  /** Writes all of it there. */
+  /** Writes all buffered bytes to a buffer. */
   public void copyTo(ByteBuf to) {
     fullChunks.forEach(to::writeBytes);
     to.writeBytes(lastChunk, 0, lastChunkLength);
   }
 
-  /** At most {@code most} bytes from {@code offset} on, not copied. */
+  /** At most {@code maxBytes} buffered bytes starting at {@code offset}, without copying. */
   public ByteBuf slice(long offset, int maxBytes) {
     int chunk = (int) (offset / CHUNK_BYTES);
     int from = (int) (offset % CHUNK_BYTES);
--- a/src/main/java/hazelspoke/core/BodyStream.java
+++ b/src/main/java/hazelspoke/core/BodyStream.java
@@ -4,40 +4,45 @@
 import java.util.Deque;
 
 /**
- * The rest of a body that is too large to be held: bytes on their way from the side that reads them
- * to the side that writes them on. What waits in between is bounded, as the source is asked to
- * pause when the sink does not keep up. On one loop; knows no sockets.
+ * The remainder of a body that is too large to be buffered, passed from the source that reads it to
+ * the sink that writes it. The bytes pending in between are bounded: the source is asked to pause
+ * when the sink falls behind. Confined to one event loop; independent of sockets.
  *
- * <p>A source calls {@link #offer}, and then {@link #end} or {@link #fail}, once; what it offers
- * after a sink has {@link #abandon abandoned} it is dropped. A sink attaches once, is given all in
- * order and exactly one of {@link Sink#onComplete} and {@link Sink#onTruncated}, unless it
- * abandons.
+ * <p>A source calls {@link #offer}, and then {@link #end} or {@link #fail} once; bytes offered
+ * after the sink has {@link #abandon abandoned} the stream are dropped. One sink attaches; it
+ * receives all bytes in order and exactly one of {@link Sink#onComplete} and {@link
+ * Sink#onTruncated}, unless it abandons the stream.
  */
 public final class BodyStream {
-  /** What may wait before the source is asked to pause; its last read comes on top. */
+  /** The pending bytes above which the source is asked to pause; its last read is added to them. */
   static final int MAX_PENDING_BYTES = 16_384;
 
-  /** Who reads the bytes. */
+  /** The reading side. */
   public interface Source {
-    /** Whether to read on. Repeating what holds already does nothing. */
+    /** Resumes or pauses reading. Idempotent. */
     void setReading(boolean enabled);
 
-    /** A sink has attached: what was held ahead of this is written and needed no more. */
+    /**
+     * A sink has attached: the bytes buffered before the stream were written and can be released.
+     */
     default void onAttached() {}
 
-    /** Nobody wants the rest any more. */
+    /** The remaining bytes are not needed any more. */
     void onAbandoned();
   }
 
-  /** Who writes the bytes on. */
+  /** The writing side. */
   public interface Sink {
-    /** Takes bytes, which are its own from now on; false asks for no more until a pull. */
+    /**
+     * Takes ownership of the bytes. Returns false if the sink accepts no more until it calls {@link
+     * BodyStream#pull}.
+     */
     boolean write(byte[] bytes);
 
-    /** All has come. */
+    /** The body is complete. */
     void onComplete();
 
-    /** The rest will not come. */
+    /** The remaining bytes will not arrive. */
     void onTruncated();
   }
 
@@ -50,17 +55,17 @@
   private boolean sourceFailed;
   private boolean done;
 
-  /** One from this source, whose reading goes on until it is told otherwise. */
+  /** Creates a stream from a source, which reads until it is asked to pause. */
   public BodyStream(Source source) {
     this.source = source;
   }
 
-  /** Whether a sink has attached: what has gone to one cannot be given to another. */
+  /** Whether a sink has attached. Bytes passed to one sink cannot be passed to another. */
   public boolean isAttached() {
     return sink != null;
   }
 
-  /** More bytes have come. */
+  /** Adds bytes that were read. */
   public void offer(byte[] bytes) {
     if (done || bytes.length == 0) {
       return;
@@ -73,13 +78,13 @@
     }
   }
 
-  /** No more will come: that was all of it. */
+  /** Reports the end of a complete body. */
   public void end() {
     sourceEnded = true;
     deliver();
   }
 
-  /** The rest will not come. */
+  /** Reports that the remaining bytes will not arrive. */
   public void fail() {
     if (done || sourceEnded) {
       return;
@@ -90,9 +95,9 @@
   }
 
   /**
-   * Gives everything to this sink, which is asked at once.
+   * Attaches the sink and starts to deliver bytes to it.
    *
-   * @throws IllegalStateException if there was one before
+   * @throws IllegalStateException if a sink is already attached
    */
   public void attach(Sink newSink) {
     if (sink != null) {
@@ -103,7 +108,7 @@
     pull();
   }
 
-  /** The sink can take more. */
+  /** Reports that the sink can accept more. */
   public void pull() {
     sinkReady = true;
     deliver();
@@ -112,7 +117,10 @@
     }
   }
 
-  /** The sink wants no more, or nobody will ever attach; the source is told. */
+  /**
+   * Discards the remaining bytes, because the sink does not need them or none will attach, and
+   * notifies the source.
+   */
   public void abandon() {
     if (!done) {
       done = true;
--- a/src/main/java/hazelspoke/core/ByteBudget.java
+++ b/src/main/java/hazelspoke/core/ByteBudget.java
@@ -4,10 +4,11 @@
 import java.util.Deque;
 
 /**
- * A bound on bytes that many hold at once, kept by pausing those who read them. What is general
- * fills up with parts of many bodies, none of which could then be finished; so one holder at a time
- * may go on into a reserve that fits the largest body. It gets done, frees what it holds, and the
- * next one in line takes its place: no deadlock, and never more than both together.
+ * Bounds the bytes buffered by many holders at once by pausing their readers. The common pool can
+ * fill up with parts of many bodies, none of which could then be completed. One holder at a time
+ * may therefore continue in a reserve that fits the largest body. It completes, releases its bytes,
+ * and the next paused holder takes over the reserve. This prevents deadlock and bounds the total by
+ * the pool plus the reserve.
  */
 public final class ByteBudget {
   private final long poolBytes;
@@ -19,17 +20,20 @@
     this.poolBytes = poolBytes;
   }
 
-  /** What all hold now, in bytes; what is in the reserve comes on top. */
+  /** The bytes held in the pool; the bytes in the reserve are not included. */
   public long usedBytes() {
     return usedBytes;
   }
 
-  /** Whether less than half of it is used. */
+  /** Whether less than half of the pool is used. */
   public boolean hasHeadroom() {
     return usedBytes < poolBytes / 2;
   }
 
-  /** A holder's part; {@code mayGoOn} is run when it was paused and there is room again. */
+  /**
+   * Creates a share for one holder; {@code resume} is called after a pause as soon as bytes are
+   * available again.
+   */
   public Share share(Runnable resume) {
     return new Share(resume);
   }
@@ -53,7 +57,7 @@
     usedBytes -= share.heldBytes;
   }
 
-  /** What one body or answer holds. */
+  /** The bytes held for one body or answer. */
   public final class Share {
     private final Runnable resume;
     private long heldBytes;
@@ -63,7 +67,10 @@
       this.resume = resume;
     }
 
-    /** Counts bytes that have come; false asks the holder to read no more until it is told. */
+    /**
+     * Adds bytes that were read. Returns false if the holder has to stop reading until it is
+     * resumed.
+     */
     public boolean add(long bytes) {
       heldBytes += bytes;
       if (reserveHolder == this) {
@@ -84,7 +91,7 @@
       return false;
     }
 
-    /** Gives back all that is held. */
+    /** Releases all bytes of this share. */
     public void release() {
       if (reserveHolder == this) {
         reserveHolder = null;
--- a/src/main/java/hazelspoke/core/ClassRegistry.java
+++ b/src/main/java/hazelspoke/core/ClassRegistry.java
@@ -7,21 +7,26 @@
 import ternscale.api.Settings.RequestClass;
 
 /**
- * The classes of requests, each at a place that stays the same while new settings come: requests in
- * hand, the module and the figures know a class by its place. A class that is dropped, or asked for
- * in another form from now on, can be asked for as before until clients have heard of it.
- * Immutable; reads no clock.
+ * The request classes, each at an index that is stable across reloads of the settings: open
+ * requests, the balancer and the metrics identify a class by its index. A class that was removed,
+ * or whose effect changed, can still be requested in its previous form until clients have learned
+ * of the change. Immutable; does not read a clock.
  */
 public final class ClassRegistry {
-  /** Places are given away anew beyond so many, those first that were left longest ago. */
+  /**
+   * The maximum number of entries. Above it the index of the entry that expired first is reused.
+   */
   static final int MAX_ENTRIES = 64;
 
-  /** Clients go by new settings 1.2 s after the gateway was told; this is with some slack. */
+  /**
+   * How long a removed class can be requested. Clients apply new settings 1.2 s after the gateway
+   * has; the remaining time is a margin.
+   */
   static final double REMOVAL_GRACE_MS = 2_000;
 
   private static final double NEVER = Double.POSITIVE_INFINITY;
 
-  /** A class at its place, which can be asked for until this time. */
+  /** A class and the time until which it can be requested. */
   private record Entry(String name, RequestClass type, double expiresAtMs) {}
 
   private final List<Entry> entries;
@@ -31,19 +36,20 @@
   }
 
   /**
-   * The classes of the first settings; the types stand in the order of the names.
+   * Creates the registry for the first settings; the types are in the order of the names.
    *
-   * @throws IllegalArgumentException if a name is missing or stands there twice
+   * @throws IllegalArgumentException if a name is empty or duplicate
    */
   public static ClassRegistry of(List<String> names, List<RequestClass> types) {
     return new ClassRegistry(List.of()).reloaded(names, types, 0);
   }
 
   /**
-   * The book under new settings that came at {@code now}, in milliseconds of the gateway's clock.
+   * Returns the registry for new settings that are in force from {@code nowMs} on the gateway's
+   * clock.
    *
-   * @throws IllegalArgumentException if a name is missing or stands there twice, or there are too
-   *     many classes, with those counted that were dropped a moment ago
+   * @throws IllegalArgumentException if a name is empty or duplicate, or if there are too many
+   *     classes, including those removed within the grace period
    */
   public ClassRegistry reloaded(List<String> names, List<RequestClass> types, double nowMs) {
     if (names.contains("") || new HashSet<>(names).size() < names.size()) {
@@ -53,7 +59,8 @@
     for (Entry e : entries) {
       int newIndex = names.indexOf(e.name);
       boolean isUnchanged = newIndex >= 0 && types.get(newIndex).effect() == e.type.effect();
-      // What is left for good stays where it is: a place is what others know it by.
+      // Expired entries keep their positions, because other components refer to a class by its
+      // index.
       next.add(
           isUnchanged
               ? new Entry(e.name, types.get(newIndex), NEVER)
@@ -84,11 +91,11 @@
   }
 
   /**
-   * The place of the class that a request names: the present one if the request has its form, else
-   * one of that name and form that can be asked for still, else the present one all the same; -1 if
-   * there is none of that name.
+   * Returns the index of the class that a request names, or -1 if there is none of that name. The
+   * current class is preferred if its effect matches the request, then a removed class of that name
+   * and effect within the grace period, then the current class with another effect.
    *
-   * @param form the effect that the request's form stands for
+   * @param effect the effect that corresponds to the form of the request
    */
   public int find(String name, Effect effect, double nowMs) {
     int found = -1;
@@ -108,22 +115,22 @@
     return (e.type.effect() == effect ? 2 : 0) + (e.expiresAtMs == NEVER ? 1 : 0);
   }
 
-  /** The class at a place. */
+  /** The class at an index. */
   public RequestClass type(int index) {
     return entries.get(index).type;
   }
 
-  /** The names by place; one may stand there twice, and those left for good among them. */
+  /** The names by index; a name may occur twice, and expired entries are included. */
   public List<String> names() {
     return entries.stream().map(Entry::name).toList();
   }
 
-  /** The classes by place, as above. */
+  /** The classes by index, including expired ones. */
   public List<RequestClass> types() {
     return entries.stream().map(Entry::type).toList();
   }
 
-  /** The longest deadline that a request may have now, in milliseconds. */
+  /** The longest deadline that a request accepted at {@code nowMs} can have, in milliseconds. */
   public double longestDeadlineMs(double nowMs) {
     return entries.stream()
         .filter(e -> e.expiresAtMs >= nowMs)
--- a/src/main/java/hazelspoke/core/Client.java
+++ b/src/main/java/hazelspoke/core/Client.java
@@ -1,16 +1,16 @@
 package hazelspoke.core;
 
-/** Who asked: a front's end of one request. */
+/** The client of one request, implemented by a front end. */
 public interface Client {
   /**
-   * Gives the one answer to its request. It may come before {@link RequestHandler#onRequest}
-   * returns. Not called once the client was said to have gone.
+   * Delivers the only answer to the request. May be called before {@link RequestHandler#onRequest}
+   * returns; not called after the client was reported as disconnected.
    */
   void answer(Answer answer);
 
   /**
-   * Reads at once whatever the client has sent or ended by now: its end is told to the {@link
-   * RequestHandler} before this returns. Does not wait.
+   * Reads immediately, without waiting, everything that the client has sent. If the client has
+   * closed its connection, the {@link RequestHandler} is notified before this returns.
    */
   void readPending();
 }
--- a/src/main/java/hazelspoke/core/Clock.java
+++ b/src/main/java/hazelspoke/core/Clock.java
@@ -3,9 +3,8 @@
 import io.netty.util.concurrent.Ticker;
 
 /**
- * The one clock of a gateway: Unix time in milliseconds as it was at the start, carried on by the
- * monotonic clock. It never runs backwards, and start times that discovery lists can be compared
- * with it as they are.
+ * The clock of a gateway: Unix time in milliseconds at startup, advanced by the monotonic clock. It
+ * never runs backwards, and its values can be compared with the start times that discovery lists.
  */
 public final class Clock {
   private static final double NANOS_PER_MS = 1e6;
@@ -14,12 +13,12 @@
   private final double anchorMs = System.currentTimeMillis();
   private final long anchorNanos;
 
-  /** The system's. */
+  /** A clock on the system ticker. */
   public Clock() {
     this(Ticker.systemTicker());
   }
 
-  /** One that is carried on by this ticker: a test makes its own time with it. */
+  /** A clock on the given ticker, which tests use to control time. */
   public Clock(Ticker ticker) {
     this.ticker = ticker;
     anchorNanos = ticker.nanoTime();
--- a/src/main/java/hazelspoke/core/CoreServices.java
+++ b/src/main/java/hazelspoke/core/CoreServices.java
@@ -3,15 +3,15 @@
 import io.netty.channel.EventLoop;
 
 /**
- * What attempts and probes work with, all of one gateway and on its loop.
+ * The services shared by the attempts and probes of one gateway, all confined to its event loop.
  *
- * @param loop the one thread of the core
- * @param clock the time in milliseconds
- * @param hosts where calls are started
- * @param timers tells attempts and probes when they time out
- * @param lag what the loop has lost, so that no host is blamed for it
- * @param meter counts what is sent
- * @param guard says whether something may still be sent
+ * @param loop the only thread of the core
+ * @param clock the gateway's clock, in milliseconds
+ * @param hosts starts calls to hosts
+ * @param timers notifies attempts and probes of their timeouts
+ * @param lag measures event-loop lag, so that hosts are not blamed for it
+ * @param meter counts sent attempts
+ * @param guard decides whether bytes may still be sent
  */
 record CoreServices(
     EventLoop loop,
--- a/src/main/java/hazelspoke/core/DeadlineQueue.java
+++ b/src/main/java/hazelspoke/core/DeadlineQueue.java
@@ -3,19 +3,19 @@
 import java.util.Arrays;
 
 /**
- * What is due when, of what is still open: a binary heap whose entries know their places, so that
- * one is taken back as soon as it is of no more use (J. W. J. Williams, Algorithm 232: Heapsort,
- * 1964). Putting in and taking back cost O(log n), and what is taken back is let go of at once.
- * Entries due at the same time come in the order in which they were put in. No clock, no I/O.
+ * A queue of pending timeouts: a binary heap whose entries know their index, so that an entry can
+ * be removed as soon as it is no longer needed (J. W. J. Williams, Algorithm 232: Heapsort, 1964).
+ * Insertion and removal are O(log n), and the queue keeps no reference to a removed entry. Entries
+ * with the same due time are returned in insertion order. Uses neither a clock nor I/O.
  */
 final class DeadlineQueue {
-  /** Something that becomes due; it is in one of these at most. */
+  /** An entry that becomes due; it can be in one queue at a time. */
   abstract static class Entry {
     private double dueMs;
     private long sequence;
     private int index = -1;
 
-    /** Its time has come; it has been taken out. */
+    /** Called when the entry is due, after its removal from the queue. */
     abstract void onDue();
 
     private boolean isBefore(Entry other) {
@@ -34,16 +34,16 @@
   }
 
   /**
-   * When the first becomes due, in milliseconds of the gateway's clock; infinite when none will.
+   * The earliest due time on the gateway's clock, in milliseconds; infinite if the queue is empty.
    */
   double nextMs() {
     return size == 0 ? Double.POSITIVE_INFINITY : heap[0].dueMs;
   }
 
   /**
-   * Puts one in.
+   * Inserts an entry.
    *
-   * @throws IllegalStateException if it is in already
+   * @throws IllegalStateException if the entry is already queued
    */
   void add(Entry entry, double dueMs) {
     if (entry.index >= 0) {
@@ -57,7 +57,7 @@
     siftUp(entry, size++);
   }
 
-  /** Takes one back; harmless when it is not in. */
+  /** Removes an entry; does nothing if it is not queued. */
   void remove(Entry entry) {
     int index = entry.index;
     if (index < 0) {
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Takes out the first that is due by {@code nowMs}; null when none is. */
+  /** Removes and returns the first entry that is due by {@code nowMs}, or null if there is none. */
   Entry pollDue(double nowMs) {
     if (nextMs() > nowMs) {
       return null;
--- a/src/main/java/hazelspoke/core/Discovery.java
+++ b/src/main/java/hazelspoke/core/Discovery.java
@@ -1,10 +1,10 @@
 package hazelspoke.core;
 
-/** Who tells which hosts there are. */
+/** The source of the host list. */
 public interface Discovery {
-  /** Begins to watch the list, unless that is being done already, or ends it. */
+  /** Starts a watch on the host list, unless one is active, or stops it. */
   void watch(boolean on);
 
-  /** Asks once for the whole list. */
+  /** Requests the complete list once. */
   void poll();
 }
--- a/src/main/java/hazelspoke/core/Dispatcher.java
+++ b/src/main/java/hazelspoke/core/Dispatcher.java
@@ -20,11 +20,14 @@
 import ternscale.api.Settings;
 
 /**
- * Every request in hand: tells the module what happens to it and does what the module says, and
- * sees to it that each gets exactly one final answer, whatever goes wrong.
+ * Manages all open requests: reports events to the balancer, carries out its actions, and
+ * guarantees exactly one final answer for each request in the event of any failure.
  */
 public final class Dispatcher implements Actions, RequestHandler, Attempt.Listener {
-  /** A request still unanswered this long after its deadline is failed here: a bug, not a rule. */
+  /**
+   * A request without an answer this long after its deadline is failed by the dispatcher. This
+   * occurs only if the balancer has a bug.
+   */
   static final double OVERDUE_GRACE_MS = 15;
 
   private final EventLoop loop;
@@ -41,7 +44,7 @@
   private final Violations violations;
   private final Map<String, Exchange> exchanges = new HashMap<>();
 
-  /** The clients' own ids of the requests that are owed an answer. */
+  /** The client-assigned ids of the requests that are pending. */
   private final Set<String> openTxns = new HashSet<>();
 
   private Discovery discovery;
@@ -50,10 +53,13 @@
   private long acceptedCount;
   private int pendingCount;
 
-  /** When this process has to have answered all; infinite until it is told to end. */
+  /** When this process must have answered all requests; infinite until shutdown begins. */
   private double shutdownDeadlineMs = Double.POSITIVE_INFINITY;
 
-  /** One that takes at most {@code openCap} requests at a time and refuses what comes beyond. */
+  /**
+   * Creates a dispatcher that accepts at most {@code openCap} requests at a time and refuses
+   * further ones.
+   */
   public Dispatcher(
       EventLoop loop,
       Settings settings,
@@ -78,7 +84,7 @@
         new CoreServices(loop, clock, hosts, timers, lag, meter, new SendGuard(clock, violations));
   }
 
-  /** Where whatever must not happen is counted. */
+  /** The counter of invariant violations. */
   public Violations violations() {
     return violations;
   }
@@ -89,8 +95,9 @@
   }
 
   /**
-   * Hands the module one event. It is not made for being called from within its own actions, so
-   * what follows from one at once waits for its turn; and if it fails, nobody waits for ever.
+   * Passes one event to the balancer. The balancer is not reentrant, so an event caused by one of
+   * its actions is queued for a later event-loop iteration. If the balancer throws, the request
+   * concerned is failed, so that its client does not wait for an answer.
    */
   private void callBalancer(Exchange concerned, Runnable event) {
     if (inBalancerCall) {
@@ -113,8 +120,8 @@
   }
 
   /**
-   * This process ends: whatever is in hand and whatever still comes has to be answered by then, and
-   * no host is told that it has longer.
+   * Begins shutdown: all open and future requests must be answered by this time, and hosts are
+   * given no later deadline.
    */
   public void setShutdownDeadline(double deadlineMs) {
     shutdownDeadlineMs = deadlineMs;
@@ -126,7 +133,7 @@
     }
   }
 
-  /** Sees to it that neither it nor its attempts are waited for beyond its deadline. */
+  /** Updates the overdue timer and the timeouts of all attempts to the request's deadline. */
   private void updateTimeouts(Exchange exchange) {
     double nowMs = clock.nowMs();
     timers.remove(exchange.overdueTimer);
@@ -136,7 +143,7 @@
     }
   }
 
-  /** Fails all that is in hand: this process ends before they could be answered otherwise. */
+  /** Fails all open requests because the process ends before they can be answered. */
   public void failAll() {
     List<Exchange> unanswered =
         exchanges.values().stream().filter(exchange -> !exchange.ended).toList();
@@ -146,7 +153,7 @@
     }
   }
 
-  /** Fails a request that the module has lost track of. */
+  /** Fails a request for which the balancer will send no answer. */
   private void failRequest(Exchange exchange) {
     if (!exchange.ended) {
       answer(exchange, Answer.failed(false));
@@ -170,7 +177,7 @@
         }
       }
     }
-    // Its address has another host now, whatever the list says of it yet.
+    // The address now belongs to another host, even if discovery still lists the previous one.
     displacedHosts.forEach(entry -> entries.add(entry.withAvailability(Availability.GONE)));
     if (kind == MembersUpdate.Kind.FULL) {
       hosts.retainOnly(entries.stream().map(HostEntry::host).collect(Collectors.toSet()));
@@ -183,8 +190,9 @@
   }
 
   /**
-   * Cancels what waits for its turn or for a connection to a host that drains or is gone: the
-   * connection may come up after the grace, and the request can go elsewhere now.
+   * Cancels attempts that wait for a connection to a draining or removed host, or for their
+   * event-loop iteration: the connection may be established after the drain's grace period, and the
+   * request can be sent to another host now.
    */
   private void cancelUnsentToUnavailable(MembersUpdate.Kind kind, List<HostEntry> entries) {
     Set<String> up = new HashSet<>();
@@ -208,13 +216,17 @@
     }
   }
 
-  /** Other settings are in force; see {@link Balancer#onSettings}. */
+  /** Applies reloaded settings; see {@link Balancer#onSettings}. */
   public void onSettings(Settings next) {
     settings = next;
     callBalancer(null, () -> balancer.onSettings(clock.nowMs(), next));
   }
 
-  /** A call to discovery failed; whether because nothing was heard. */
+  /**
+   * Reports a failed discovery call.
+   *
+   * @param isUnresponsive whether nothing was received from discovery
+   */
   public void onDiscoveryFailed(boolean isUnresponsive) {
     MembersUpdate.Kind kind =
         isUnresponsive ? MembersUpdate.Kind.SILENT : MembersUpdate.Kind.FAILED;
@@ -290,8 +302,8 @@
   }
 
   /**
-   * Whose client's time is over for certain is answered before anything is done for others: where
-   * the loop stood still, that is owed longest.
+   * Answers requests whose deadline has definitely passed before any other work is done, because
+   * after a stall of the event loop these have waited longest.
    */
   private void failOverdue() {
     if (!inBalancerCall) {
@@ -325,7 +337,10 @@
     updateTimeouts(exchange);
   }
 
-  /** What is kept of requests: those in hand, attempts still out, and what is to become due. */
+  /**
+   * The number of retained objects: open requests, their ids, attempts in flight and timers. Used
+   * by tests.
+   */
   int retainedCount() {
     return exchanges.size() + openTxns.size() + timers.size();
   }
@@ -351,7 +366,7 @@
     if (exchange.pendingOutcomes == 0) {
       exchanges.remove(exchange.id);
     }
-    // Nothing more goes out for it: what has not been written by now must not be.
+    // Nothing more may be sent for this request; cancel what has not been written.
     for (int i = 0; i < exchange.attempts.size(); i++) {
       exchange.attempts.get(i).cancelIfLastByteUnsent();
     }
@@ -390,9 +405,10 @@
   }
 
   /**
-   * Until when one more attempt may be written: hosts drop the repeat of a request with a key for
-   * as long as the window of its class, counted from the first that may have run. The module sees
-   * to it at its decision, and the connection may come up much later.
+   * Returns the time until which another attempt may be written. Hosts discard a repeated
+   * idempotency key within the window of the class, counted from the first attempt that may have
+   * been executed. The balancer checks this at its decision, but the connection may be established
+   * much later.
    */
   private double repeatDeadlineMs(Exchange exchange) {
     double deadlineMs = Double.POSITIVE_INFINITY;
@@ -473,7 +489,9 @@
     discovery.watch(on);
   }
 
-  /** No site that this gateway is built for lets gateways talk to one another. */
+  /**
+   * Logs and drops the message: no supported deployment lets gateways communicate with each other.
+   */
   @Override
   public void sendToPeer(int peer, String data) {
     log.line("a message to a peer was dropped: there is no way to one");
@@ -484,7 +502,7 @@
     log.line(line);
   }
 
-  /** A request that the module has left without an answer. */
+  /** Fails a request that the balancer has left without an answer. */
   private final class OverdueTimer extends DeadlineQueue.Entry {
     private final Exchange exchange;
 
--- a/src/main/java/hazelspoke/core/Exchange.java
+++ b/src/main/java/hazelspoke/core/Exchange.java
@@ -5,58 +5,66 @@
 import ternscale.api.RequestInfo;
 import ternscale.api.Settings.Effect;
 
-/**
- * One request of a client's, and how far it has come; beyond its making, the dispatcher's alone.
- */
+/** One client request and its state. After its creation only the dispatcher changes it. */
 public final class Exchange {
-  /** The part of a client's patience that is kept for the way back and for moments lost here. */
+  /**
+   * The fraction of the client's deadline reserved for delivery of the answer and for stalls of
+   * this process.
+   */
   private static final double RESERVE_FRACTION = 1.0 / 8;
 
-  /** But not more than processes with little to do were seen to stand still for, in ms. */
+  /**
+   * The upper bound of that reserve, in milliseconds: the longest stall expected of processes under
+   * low load.
+   */
   static final double MAX_RESERVE_MS = 250;
 
   private Request request;
   private Client client;
 
-  /** Counts the body as long as it may be needed for another attempt. */
+  /** Counts the body against its budget for as long as another attempt may need it. */
   final ByteBudget.Share share;
 
   final List<Attempt> attempts = new ArrayList<>(1);
 
-  /** The gateway's own number: a client may send the same id again, once the first is over. */
+  /**
+   * The id assigned by the gateway. Client-assigned ids can be reused after the first request has
+   * ended.
+   */
   String id;
 
-  /** Infinite while the rest of it is still to come. */
+  /** Infinite until the request is complete. */
   double deadlineMs;
 
   /**
-   * From when on no attempt is waited for any more, so that what is said then gets to the client
-   * while it still listens, though this process may stand still for a moment; infinite as above.
+   * The time at which attempts time out. It precedes the deadline, so that an answer reaches the
+   * client in time even if this process stalls briefly. Infinite until the request is complete.
    */
   double attemptDeadlineMs;
 
-  /** What fails it should the module forget it; null before it is taken. */
+  /** Fails the request if the balancer never answers it; null until the request is accepted. */
   DeadlineQueue.Entry overdueTimer;
 
-  /** What the loop had lost in all when the request came, in milliseconds. */
+  /** The total event-loop lag when the request arrived, in milliseconds. */
   double lagAtStartMs;
 
-  /** When its answer was decided. */
+  /** When the answer was decided. */
   double answeredAtMs;
 
-  /** Whether it was ended as overdue. */
+  /** Whether the request was failed by the overdue timer. */
   boolean endedAsOverdue;
 
-  /** Whether the client was answered or has gone: nothing more may be said or sent for it. */
+  /** Whether the client was answered or has disconnected; nothing more may be answered or sent. */
   boolean ended;
 
-  /** Attempts whose outcome the module has not been told. */
+  /** The number of attempts whose outcome has not been reported to the balancer. */
   int pendingOutcomes;
 
   /**
-   * A request that is coming in.
+   * Creates an exchange for a request that is being received.
    *
-   * @param share counts its body, and is the dispatcher's to release once it is handed over
+   * @param share counts the request's body; the dispatcher releases it once the request is handed
+   *     over
    */
   public Exchange(Request request, Client client, ByteBudget.Share share) {
     this.request = request;
@@ -64,7 +72,7 @@
     this.share = share;
   }
 
-  /** What is asked; null once it was answered or its client has gone. */
+  /** The request, or null after it was answered or its client has disconnected. */
   public Request request() {
     return request;
   }
@@ -73,7 +81,7 @@
     return client;
   }
 
-  /** Ends it, and keeps nothing but what an attempt that is still out needs. */
+  /** Ends the request and keeps only what attempts in flight need. */
   void release() {
     ended = true;
     request.body().abandon();
@@ -82,21 +90,24 @@
     share.release();
   }
 
-  /** What counts its body. */
+  /** The share that counts the body. */
   public ByteBudget.Share share() {
     return share;
   }
 
   /**
-   * The rest has come as well.
+   * Reports that the request has been received completely.
    *
-   * @param endsBy when this process has to have answered all; infinite as long as it goes on
+   * @param shutdownDeadlineMs when this process must have answered all requests; infinite unless it
+   *     is shutting down
    */
   void complete(double nowMs, double waitedMs, double shutdownDeadlineMs) {
     setDeadline(nowMs - waitedMs + request.remainingMs(), shutdownDeadlineMs);
   }
 
-  /** This process ends: it has to be answered by then, however long its client would wait. */
+  /**
+   * Limits the deadline to the shutdown of this process, regardless of the client's own deadline.
+   */
   void setShutdownDeadline(double shutdownDeadlineMs) {
     if (shutdownDeadlineMs < deadlineMs) {
       setDeadline(shutdownDeadlineMs, shutdownDeadlineMs);
@@ -110,15 +121,17 @@
   }
 
   /**
-   * How long an attempt that begins now is waited for, in milliseconds: until what is said then
-   * still gets to the client. One that begins later than that has half of what is left. Never more
-   * than the client has left.
+   * The timeout of an attempt that starts now, in milliseconds. It leaves time to deliver an answer
+   * to the client; an attempt that starts later than that gets half of the remaining time. Never
+   * more than the time until the client's deadline.
    */
   double attemptTimeoutMs(double nowMs) {
     return Math.max(attemptDeadlineMs - nowMs, (deadlineMs - nowMs) / 2);
   }
 
-  /** The request is whole: its time has been running since it lay ready to be read. */
+  /**
+   * Accepts the request. The client's time has been running since the request was ready to be read.
+   */
   RequestInfo accept(String assignedId, double nowMs, double waitedMs, double shutdownDeadlineMs) {
     id = assignedId;
     double deadlineIfCompleteMs =
--- a/src/main/java/hazelspoke/core/HostCall.java
+++ b/src/main/java/hazelspoke/core/HostCall.java
@@ -3,40 +3,41 @@
 import ternscale.api.Outcome.Result;
 
 /**
- * One attempt of a request, or a probe, as a back carries it out: it is told once how it ended, by
- * {@link #onAnswer} or {@link #onEnd}, and nothing after its ticket was given up.
+ * One attempt of a request, or one load probe, as seen by the host transport. The transport reports
+ * the end once, by {@link #onAnswer} or {@link #onEnd}, and nothing after the call's handle was
+ * cancelled.
  */
 public interface HostCall {
-  /** What is asked, for as long as it may have to be written; null asks for the host's load. */
+  /** The request, available for as long as it may have to be written; null for a load probe. */
   Request request();
 
   /**
-   * Whether its first byte may be written now; no means it never ran. Asked right before that, and
-   * may give the call's ticket up.
+   * Whether the first byte may be written now; if not, the call was not executed. Called
+   * immediately before the write; may cancel the call's handle.
    */
   boolean maySendFirstByte();
 
-  /** The same of its last byte, where that is kept back. */
+  /** The same check for the last byte, where the transport holds it back. */
   boolean maySendLastByte();
 
-  /** How long an answer is awaited from now on, in milliseconds; asked when it is written. */
+  /** The remaining time for the response, in milliseconds; called when the call is written. */
   double remainingMs();
 
-  /** Its last byte was handed to the socket: it may run from now on. */
+  /** The last byte was handed to the socket, so the host may execute the call from now on. */
   void onSent();
 
   /**
-   * The call ended with a whole answer.
+   * The call ended with a complete response.
    *
-   * @param loadReport the host's report of its load as text, empty when none came
-   * @param share counts the body; it is the receiver's from now on
+   * @param loadReport the host's load report as text, empty if none was received
+   * @param share counts the body; owned by the receiver from now on
    */
   void onAnswer(Metadata metadata, String loadReport, Body body, ByteBudget.Share share);
 
   /**
-   * The call ended otherwise.
+   * The call ended in any other way.
    *
-   * @param loadReport as above
+   * @param loadReport the host's load report as text, empty if none was received
    */
   void onEnd(Result result, String loadReport);
 }
--- a/src/main/java/hazelspoke/core/HostList.java
+++ b/src/main/java/hazelspoke/core/HostList.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import ternscale.api.HostEntry;
 
-/** Hosts as discovery lists them. */
+/** The hosts as listed by discovery. */
 public final class HostList {
-  /** A host with the address under which this gateway reaches it. */
+  /** A host and the address at which this gateway reaches it. */
   public record Listed(HostEntry entry, InetSocketAddress address) {}
 
-  /** One object of discovery's: the complete list, or what changed. */
+  /** One message of discovery: the complete list, or the entries that changed. */
   public record Update(boolean complete, long version, List<Listed> hosts) {
     /**
-     * The complete list that this one becomes by the next update: that itself where it is complete,
-     * or else this one's hosts with those in their place that it names.
+     * Returns the complete list after the next update: the update itself if it is complete,
+     * otherwise these hosts with the updated entries replaced or added.
      */
     public Update changedBy(Update next) {
       if (next.complete()) {
--- a/src/main/java/hazelspoke/core/HostTransport.java
+++ b/src/main/java/hazelspoke/core/HostTransport.java
@@ -4,37 +4,43 @@
 import java.util.Set;
 import ternscale.api.HostEntry;
 
-/** The ways to the hosts: a back. */
+/** Sends calls to hosts; implemented by a back end. */
 public interface HostTransport {
-  /** One call under way. */
+  /** A call in progress. */
   interface CallHandle {
-    /** Whether any of the call was handed to the socket: for a host that drains it counts so. */
+    /**
+     * Whether any byte of the call was handed to the socket; such a call counts as started when its
+     * host drains.
+     */
     boolean isFirstByteSent();
 
-    /** Whether the host may have begun the call: its last byte was handed to the socket. */
+    /**
+     * Whether the last byte was handed to the socket, so that the host may have started to execute
+     * the call.
+     */
     boolean isLastByteSent();
 
-    /** Stops waiting; the call is told nothing more. Harmless for one that has ended. */
+    /** Cancels the call, which receives no further notification. Does nothing if it has ended. */
     void cancel();
   }
 
-  /** Starts a call, which is told how it ended on a later turn of the loop. */
+  /** Starts a call. Its end is reported in a later event-loop iteration. */
   CallHandle start(String host, HostCall call);
 
-  /** Closes the connections to a host that rest. */
+  /** Closes the idle connections to a host. */
   void closeIdle(String host);
 
   /**
-   * Where a host is reached; its address may change while its name stays. An address belongs to one
-   * host at a time, the one that started last.
+   * Sets the address of a host; the address can change while the name stays. An address belongs to
+   * one host at a time, the one that started last.
    *
-   * @return the host that was known at this address until now and has gone with that, or null
+   * @return the host that had this address until now and is removed by this call, or null
    */
   HostEntry setAddress(HostEntry host, InetSocketAddress address);
 
-  /** Lets go of a host that is listed no more; calls on their way to it go on. */
+  /** Removes a host that is no longer listed; calls in progress continue. */
   void remove(String host);
 
-  /** Lets go of all but these. */
+  /** Removes all hosts except these. */
   void retainOnly(Set<String> hosts);
 }
--- a/src/main/java/hazelspoke/core/LateAnswer.java
+++ b/src/main/java/hazelspoke/core/LateAnswer.java
@@ -1,27 +1,34 @@
 package hazelspoke.core;
 
 /**
- * Why an answer left later than its client waits, told from what is known when it has left. An
- * operator reads it in a line and a figure: such an answer may count as lost, and whether it is the
- * machine, the client or a fault of the gateway cannot be seen afterwards.
+ * Why an answer was written after its client's deadline, derived from what is known at the time of
+ * the write. It is logged and counted for operators: such an answer may count as lost, and whether
+ * the machine, the client or a defect of the gateway caused the delay cannot be determined later.
  */
 public enum LateAnswer {
-  /** The process did not run for about as long: the machine, a collection, or one long turn. */
+  /**
+   * The process was not scheduled for most of the delay, because of the machine, a garbage
+   * collection or one long event-loop iteration.
+   */
   STOOD_STILL("this process stood still"),
 
-  /** The decision module forgot it, and the core ended it. */
+  /** The balancer gave no answer, and the core failed the request. */
   LEFT_OPEN("the module left it open"),
 
-  /** It was decided in time, and the client took it late or not at all. */
+  /** The answer was decided in time, and the client read it late or not at all. */
   UNREAD("its client did not take it"),
 
-  /** None of these: a fault of the gateway. */
+  /** None of the other reasons applies: a defect of the gateway. */
   UNEXPLAINED("for no known reason");
 
-  /** An answer this late is late by more than turns and timers explain, in milliseconds. */
+  /**
+   * Delays above this are not explained by event-loop iterations and timers alone, in milliseconds.
+   */
   static final double SLACK_MS = 100;
 
-  /** So much of a delay must have been lost by the loop for that to be its reason. */
+  /**
+   * The fraction of the delay that a single cause must account for to be reported as the reason.
+   */
   private static final double MAIN_SHARE = 0.5;
 
   private final String description;
@@ -30,18 +37,19 @@
     this.description = description;
   }
 
-  /** The reason, as words that end a sentence. */
+  /** The reason as text that ends a sentence. */
   public String description() {
     return description;
   }
 
   /**
-   * The reason for one.
+   * Determines the reason of a late answer.
    *
-   * @param lateMs how long after its deadline it left, in milliseconds
-   * @param decidedLateMs how long after its deadline it was decided; negative before it
-   * @param lostMs what the loop was late by while the request was in hand, in milliseconds
-   * @param leftOpen whether it was ended as overdue
+   * @param lateMs the time from the deadline to the write, in milliseconds
+   * @param decidedLateMs the time from the deadline to the decision, in milliseconds; negative if
+   *     it was decided earlier
+   * @param lagMs the event-loop lag while the request was open, in milliseconds
+   * @param endedAsOverdue whether the request was failed by the overdue timer
    */
   static LateAnswer of(double lateMs, double decidedLateMs, double lagMs, boolean endedAsOverdue) {
     if (lagMs >= MAIN_SHARE * lateMs) {
--- a/src/main/java/hazelspoke/core/LoadProbe.java
+++ b/src/main/java/hazelspoke/core/LoadProbe.java
@@ -2,14 +2,14 @@
 
 import ternscale.api.Outcome.Result;
 
-/** Asks a host for its load, once; on the loop. */
+/** Requests a host's load report once. Confined to the event loop. */
 final class LoadProbe extends DeadlineQueue.Entry implements HostCall {
-  /** Told once how the probe ended. */
+  /** Notified once of the end of the probe. */
   interface Listener {
     /**
-     * The probe ended.
+     * The probe has ended.
      *
-     * @param loadReport the report as text, empty when none came
+     * @param loadReport the report as text, empty if none was received
      */
     void onProbeEnded(LoadProbe probe, Result result, String loadReport);
   }
@@ -39,7 +39,7 @@
     return host;
   }
 
-  /** Since its start, in milliseconds. */
+  /** The time since the start, in milliseconds. */
   double elapsedMs() {
     return services.clock().nowMs() - startedAt;
   }
--- a/src/main/java/hazelspoke/core/Log.java
+++ b/src/main/java/hazelspoke/core/Log.java
@@ -2,7 +2,10 @@
 
 import java.io.PrintStream;
 
-/** Lines for the operators on standard error: few and short, whatever peers or bugs may cause. */
+/**
+ * The operators' log on standard error. The length and rate of its lines are limited, so that peers
+ * or bugs cannot flood it.
+ */
 public final class Log {
   private static final int MAX_LINES_PER_SECOND = 20;
   private static final int MAX_LINE_CHARS = 400;
--- a/src/main/java/hazelspoke/core/LoopLag.java
+++ b/src/main/java/hazelspoke/core/LoopLag.java
@@ -4,10 +4,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How far the loop is behind: a timer that comes late shows what everything else waits. Time lost
- * here is no host's, and what is read has waited in the kernel before; neither shows otherwise. It
- * also catches pauses of the machine and of the collector. It could hurt where the timer alone is
- * late; then what a client still has is taken for less than it is.
+ * Measures the lag of the event loop by the delay of a periodic timer; everything else on the loop
+ * waits as long. The lag must not be attributed to hosts, and received data has waited in the
+ * kernel for that time, which is not visible otherwise. Pauses of the machine and of the garbage
+ * collector are included. If only the timer is late, the remaining time of clients is
+ * underestimated.
  */
 final class LoopLag {
   private static final long TICK_MS = 5;
@@ -35,19 +36,19 @@
     return Math.max(0, clock.nowMs() - dueMs);
   }
 
-  /** All the time that was lost so far; of interest is how much it grows. */
+  /** The total lag since startup, in milliseconds; only differences of it are meaningful. */
   double totalLagMs() {
     return totalLagMs + currentLagMs();
   }
 
-  /** The longest that the loop has been late so far, in milliseconds. */
+  /** The largest lag since startup, in milliseconds. */
   double maxLagMs() {
     return Math.max(maxLagMs, currentLagMs());
   }
 
   /**
-   * How long what is read now has waited: since this turn began for certain, and for a part of the
-   * turn before, in which it came.
+   * Estimates how long data that is being read has waited, in milliseconds: the lag of the current
+   * event-loop iteration, plus half of the lag of the previous one, during which the data arrived.
    */
   double estimatedWaitMs() {
     return currentLagMs() + lastLagMs / 2;
--- a/src/main/java/hazelspoke/core/Metadata.java
+++ b/src/main/java/hazelspoke/core/Metadata.java
@@ -3,12 +3,12 @@
 import java.util.Arrays;
 
 /**
- * The named texts that come with a request or an answer and go on to its other end: what HTTP
- * carries as headers. In their order, and a name may occur more than once. A front or a back that
- * makes them leaves out what speaks of one connection only, and lets no control characters in.
+ * Named text values that are forwarded with a request or a response, carried as headers in HTTP.
+ * They keep their order, and a name may occur more than once. The front end or back end that
+ * creates them omits values that apply to a single connection and rejects control characters.
  */
 public final class Metadata {
-  /** None at all. */
+  /** Empty metadata. */
   public static final Metadata NONE = new Metadata(0);
 
   private static final int INITIAL_CAPACITY = 12;
@@ -16,7 +16,7 @@
   private CharSequence[] pairs;
   private int length;
 
-  /** Empty, with room for what messages usually carry. */
+  /** Creates empty metadata with capacity for a usual message. */
   public Metadata() {
     this(INITIAL_CAPACITY);
   }
@@ -25,7 +25,7 @@
     pairs = new CharSequence[2 * capacity];
   }
 
-  /** Adds one; only who makes it may, and not once it has been handed on. */
+  /** Adds a value; only the creator may call this, and only before handing the metadata on. */
   public void add(CharSequence name, CharSequence value) {
     if (length == pairs.length) {
       pairs = Arrays.copyOf(pairs, 2 * length + 2);
@@ -34,17 +34,17 @@
     pairs[length++] = value;
   }
 
-  /** How many there are. */
+  /** The number of values. */
   public int size() {
     return length / 2;
   }
 
-  /** The name of the {@code i}th. */
+  /** The name at index {@code i}. */
   public CharSequence name(int i) {
     return pairs[2 * i];
   }
 
-  /** The value of the {@code i}th. */
+  /** The value at index {@code i}. */
   public CharSequence value(int i) {
     return pairs[2 * i + 1];
   }
--- a/src/main/java/hazelspoke/core/Meter.java
+++ b/src/main/java/hazelspoke/core/Meter.java
@@ -1,11 +1,11 @@
 package hazelspoke.core;
 
 /**
- * Counts what becomes of requests. Told on the loop, of each thing once and right after it
- * happened; must neither block nor throw.
+ * Counts request events. Called on the event loop, once per event and immediately after it; must
+ * neither block nor throw.
  */
 public interface Meter {
-  /** Counts nothing, at no cost. */
+  /** Discards all events. */
   Meter NONE =
       new Meter() {
         @Override
@@ -27,21 +27,25 @@
         public void onViolation(Violations.Kind kind) {}
       };
 
-  /** A request was taken: it is owed an answer from now on. */
+  /** A request was accepted and awaits an answer. */
   void onAccepted();
 
-  /** A request was given its answer. */
+  /** A request was answered. */
   void onAnswered(int requestClass, Answer.Outcome outcome);
 
-  /** The client of a request left before it had its answer; whether any host had got it. */
+  /**
+   * The client disconnected before its request was answered.
+   *
+   * @param wasSentToHost whether any host had received the request
+   */
   void onClientDisconnected(boolean wasSentToHost);
 
-  /** An attempt was written whole to a host. */
+  /** An attempt was written completely to a host. */
   void onSent();
 
-  /** An answer left after its client had stopped waiting. */
+  /** An answer was written after its client's deadline. */
   void onLateAnswer(LateAnswer reason);
 
-  /** Something came about that never must. */
+  /** An invariant was violated. */
   void onViolation(Violations.Kind kind);
 }
--- a/src/main/java/hazelspoke/core/Names.java
+++ b/src/main/java/hazelspoke/core/Names.java
@@ -3,28 +3,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The names that peers use on sockets, each list in the order of the settings. */
+/** The names used on the wire, each list in the order of the settings. */
 public record Names(
     List<String> classes,
     List<String> tenants,
     List<String> zones,
     List<String> kinds,
     List<String> reportColumns) {
-  /** A tenant's place; an unknown one comes after all others, where no quota is looked for. */
+  /**
+   * The index of a tenant. Unknown tenants get the index after the last, for which no quota
+   * applies.
+   */
   public int tenantIndex(String name) {
     int index = name == null ? 0 : tenants.indexOf(name);
     return index < 0 ? tenants.size() : index;
   }
 
-  /** A kind's place; all unknown ones share the place after the known. */
+  /** The index of a kind of host. Unknown kinds share the index after the last. */
   public int kindIndex(String name) {
     int index = kinds.indexOf(name);
     return index < 0 ? kinds.size() : index;
   }
 
   /**
-   * A load report in the order of the settings, from text such as {@code TEXT inflight=7, queue=2};
-   * empty when it does not hold every column.
+   * Parses a load report such as {@code TEXT inflight=7, queue=2} into values in the order of the
+   * settings; empty if a column is missing or invalid.
    */
   List<Double> parseReport(String text) {
     List<Double> out = new ArrayList<>();
--- a/src/main/java/hazelspoke/core/Request.java
+++ b/src/main/java/hazelspoke/core/Request.java
@@ -3,19 +3,20 @@
 import ternscale.api.Settings.Effect;
 
 /**
- * What a client asks for, in no protocol's words.
+ * A client's request, independent of the protocol.
  *
- * @param txn the client's id of it; no other open request may bear it
- * @param requestClass its class, as a place in the settings
- * @param effect what a second run of it would do
- * @param tenant the organisation, as a place in the settings, or the place after the last
- * @param remainingMs how long its client waits, from when it lay ready to be read
- * @param costHintMs the work it is thought to be, in milliseconds on a standard core; 0 is unknown
- * @param entity what it is about, or null
- * @param resent whether its client says that it asked before
- * @param target what of its host's it is for: the path and query of HTTP
- * @param metadata what goes on with it
- * @param body its bytes; its front appends to them until it hands the request over, nobody later
+ * @param txn the client-assigned id; unique among open requests
+ * @param requestClass the index of its class
+ * @param effect the effect of executing the request a second time
+ * @param tenant the index of its tenant in the settings, or the index after the last if unknown
+ * @param remainingMs the time until the client's deadline, counted from when the request was ready
+ *     to be read
+ * @param costHintMs the estimated work in milliseconds on a standard core; 0 if unknown
+ * @param entity the entity that the request concerns, or null
+ * @param resent whether the client declares this to be a retry
+ * @param target the path and query of HTTP
+ * @param metadata the metadata forwarded to the host
+ * @param body the body; only the front end appends to it, and only before handing the request over
  */
 public record Request(
     String txn,
--- a/src/main/java/hazelspoke/core/RequestHandler.java
+++ b/src/main/java/hazelspoke/core/RequestHandler.java
@@ -1,28 +1,31 @@
 package hazelspoke.core;
 
-/** Where fronts bring requests: the dispatcher, or a guard that stands before it. */
+/** Receives requests from the front ends: the dispatcher, or a filter in front of it. */
 public interface RequestHandler {
   /**
-   * A request is whole, or all of it that can be held is there. From now on it is owed one answer,
-   * or the word that its client has gone.
+   * A request is complete, or as much of it as can be buffered was received. From now on it awaits
+   * exactly one answer, or the notification that its client has disconnected.
    */
   void onRequest(Exchange exchange);
 
-  /** The client left before it had its answer; it is given none. Harmless for one answered. */
+  /**
+   * The client disconnected before it was answered; it receives no answer. Does nothing if the
+   * request was answered.
+   */
   void onClientDisconnected(Exchange exchange);
 
   /**
-   * All of a request has come that was handed over with a body whose rest was still to come; its
-   * time runs from now on. Harmless for one that has ended.
+   * The remainder of a request that was handed over with an incomplete body was received; its
+   * deadline counts from now on. Does nothing if the request has ended.
    */
   void onRequestComplete(Exchange exchange);
 
   /**
-   * The answer to a request has left for its client, or cannot any more as the client is gone. Of
-   * use to whoever watches how late answers leave; harmless for any request.
+   * The answer was written to the client, or cannot be written because the client has disconnected.
+   * Used to detect late answers; does nothing for other requests.
    */
   void onAnswerWritten(Exchange exchange);
 
-  /** Whether a request with this id of a client's is still owed its answer. */
+  /** Whether a request with this client-assigned id is pending. */
   boolean isOpen(String txn);
 }
--- a/src/main/java/hazelspoke/core/SendGuard.java
+++ b/src/main/java/hazelspoke/core/SendGuard.java
@@ -1,28 +1,31 @@
 package hazelspoke.core;
 
 /**
- * The one place that says whether something may still be written for a request: asked right before
- * the first byte of an attempt and right before its last one. An attempt waits for connections, for
- * its turn and for news between the decision to make it and its bytes, and the process may stand
- * still anywhere in between; so nothing that was known at the decision is gone by here. Reads the
- * client's own socket rather than trusting an earlier look at it. On the loop.
+ * The only place that decides whether bytes may still be written for a request. It is called
+ * immediately before the first byte and before the last byte of an attempt. Between the decision to
+ * start an attempt and its write, the attempt waits for a connection, for an event-loop iteration
+ * and for host list updates, and the process may stall, so the decision is checked again here.
+ * Reads the client's socket instead of relying on an earlier read. Confined to the event loop.
  */
 final class SendGuard {
-  /** Why something may not be written, or that it may. */
+  /** The result of a check. */
   enum Verdict {
     ALLOWED,
 
-    /** It was answered, or its client has left. */
+    /** The request was answered, or its client has disconnected. */
     REQUEST_ENDED,
 
-    /** A host drops repeats of its key only within a window, which is over. */
+    /** The window within which a host discards a repeat of the request's key has passed. */
     WINDOW_OVER,
 
-    /** Its time, or that of this process, is over. */
+    /** The deadline of the request or of this process has passed. */
     OUT_OF_TIME
   }
 
-  /** What a host is told may be off by as much as the terms allow between clock and write. */
+  /**
+   * The tolerance of the protocol between reading the clock and writing the remaining time to a
+   * host.
+   */
   private static final double REPORTED_TIME_TOLERANCE_MS = 150;
 
   private final Clock clock;
@@ -33,7 +36,10 @@
     this.violations = violations;
   }
 
-  /** Whether the first byte of an attempt may be written now, which has to be by this time. */
+  /**
+   * Whether the first byte of an attempt may be written now. It has to be written by {@code
+   * sendByMs}.
+   */
   Verdict checkFirstByte(Exchange exchange, double sendByMs) {
     if (!isClientWaiting(exchange)) {
       return Verdict.REQUEST_ENDED;
@@ -45,12 +51,12 @@
     return now < exchange.deadlineMs ? Verdict.ALLOWED : Verdict.OUT_OF_TIME;
   }
 
-  /** Whether the last byte of an attempt may be written now, all others having gone. */
+  /** Whether the last byte of an attempt may be written now, after all others were written. */
   Verdict checkLastByte(Exchange exchange, double sendByMs) {
     return checkFirstByte(exchange, sendByMs);
   }
 
-  /** Whether its client still waits; what it has sent or ended by now is read before. */
+  /** Whether the client still waits for the answer. Reads its socket first. */
   private static boolean isClientWaiting(Exchange exchange) {
     if (!exchange.ended) {
       exchange.client().readPending();
@@ -58,14 +64,14 @@
     return !exchange.ended;
   }
 
-  /** Checks what has been written: to be called as the last byte has gone. */
+  /** Checks the request after the last byte was written. */
   void checkSent(Exchange exchange) {
     if (exchange.ended) {
       violations.count(Violations.Kind.SENT_AFTER_END, exchange.id);
     }
   }
 
-  /** Checks what a host is told to have left, in milliseconds. */
+  /** Checks the remaining time, in milliseconds, that is sent to a host. */
   void checkReportedTime(Exchange exchange, double remainingMs) {
     if (remainingMs > exchange.deadlineMs - clock.nowMs() + REPORTED_TIME_TOLERANCE_MS) {
       violations.count(Violations.Kind.TIME_TOLD, exchange.id);
--- a/src/main/java/hazelspoke/core/Timers.java
+++ b/src/main/java/hazelspoke/core/Timers.java
@@ -4,9 +4,12 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Carries {@link DeadlineQueue} out on the loop, with one timer of the loop's for all of them. */
+/** Runs a {@link DeadlineQueue} on the event loop with a single timer of the loop. */
 final class Timers {
-  /** So many are told in one turn; more wait for the next, so that sockets are not left unread. */
+  /**
+   * The maximum number of entries that run in one event-loop iteration; more wait for the next one,
+   * so that sockets are read in between.
+   */
   private static final int MAX_PER_ITERATION = 256;
 
   private static final double NANOS_PER_MS = 1e6;
@@ -26,20 +29,21 @@
     return queue.size();
   }
 
-  /** Has an entry told on a later turn, once {@code delayMs} have passed. */
+  /** Schedules an entry to run in a later event-loop iteration, after {@code delayMs}. */
   void add(DeadlineQueue.Entry entry, double delayMs) {
     queue.add(entry, clock.nowMs() + Math.max(0, delayMs));
     arm();
   }
 
-  /** Takes one back, which is then not told; harmless for one that was. */
+  /** Cancels an entry; does nothing if it has run. */
   void remove(DeadlineQueue.Entry entry) {
     queue.remove(entry);
   }
 
   /**
-   * Sees to a timer for the first of them. One that comes too early, as what it was for was taken
-   * back, costs a turn and sets the next: cheaper than to set anew at every answer.
+   * Schedules the loop's timer for the first entry. A timer that fires early because its entry was
+   * removed costs one event-loop iteration and schedules the next. This is cheaper than
+   * rescheduling at each answer.
    */
   private void arm() {
     double nextMs = queue.nextMs();
@@ -55,8 +59,8 @@
   }
 
   /**
-   * Tells at once those that should have been told by then: a loop that stood still reads its
-   * sockets before its timer fires, and that can take as long as the requests that have come.
+   * Runs entries that were due by this time immediately. After a stall the loop reads its sockets
+   * before its timer fires, which can take as long as handling all requests that have arrived.
    */
   void runDueUntil(double untilMs) {
     if (queue.nextMs() <= untilMs) {
--- a/src/main/java/hazelspoke/core/Violations.java
+++ b/src/main/java/hazelspoke/core/Violations.java
@@ -1,25 +1,25 @@
 package hazelspoke.core;
 
 /**
- * Counts at run time what must never happen, each with a line in the log that names the request: a
- * figure other than 0 is a fault of the gateway. On the loop.
+ * Counts violations of the gateway's invariants at run time and logs each with the request's id. A
+ * count above 0 indicates a defect of the gateway. Confined to the event loop.
  */
 public final class Violations {
-  /** What must never happen. */
+  /** The invariants. */
   public enum Kind {
     /** The last byte of an attempt was written after its request had ended. */
     SENT_AFTER_END("something was sent after its end"),
 
-    /** An attempt was told more time than its client and this process had left. */
+    /** A host was sent a remaining time longer than that of the client and of this process. */
     TIME_TOLD("a host was told more time than there is"),
 
-    /** The gateway itself closed a connection on which a request had begun and had no answer. */
+    /** The gateway closed a connection while a request that had begun on it was unanswered. */
     CLOSED_UNANSWERED("its connection was closed without an answer"),
 
     /** A request was given a second final answer. */
     ANSWERED_TWICE("a second answer was given"),
 
-    /** The process ends with requests that have no answer. */
+    /** The process ends while requests are unanswered. */
     EXIT_UNANSWERED("this process ends without its answer");
 
     private final String description;
@@ -32,16 +32,16 @@
   private final Log log;
   private final Meter meter;
 
-  /** One that writes to this log and counts at this meter. */
+  /** Creates a counter that writes to this log and meter. */
   public Violations(Log log, Meter meter) {
     this.log = log;
     this.meter = meter;
   }
 
   /**
-   * Notes one.
+   * Records a violation.
    *
-   * @param request the gateway's or the client's id of it, or whose connection it is
+   * @param request the id assigned by the gateway or the client, or the connection concerned
    */
   public void count(Kind kind, String request) {
     meter.onViolation(kind);
--- a/src/main/java/hazelspoke/http/BodyWriter.java
+++ b/src/main/java/hazelspoke/http/BodyWriter.java
@@ -10,9 +10,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Writes one message: its head and a short body in one piece, a long body in pieces as the peer
- * takes them, and the rest of a large one as it comes. What waits at a socket is copied outside the
- * heap, and many slow peers at once must not fill that memory.
+ * Writes one message: the head and a short body in one buffer, a long body in pieces at the rate at
+ * which the peer reads, and the remainder of a large body as it is received. Bytes pending at a
+ * socket are copied to off-heap memory, which many slow peers at once must not exhaust.
  */
 public final class BodyWriter implements BodyStream.Sink {
   private static final int PIECE_BYTES = 16_384;
@@ -31,19 +31,19 @@
   private int piecesInFlight;
   private long piecesWritten;
 
-  /** One for a body of which all is held; otherwise as below. */
+  /** Creates a writer for a completely buffered body. */
   public BodyWriter(Channel channel, Body body, ChannelFutureListener whenWritten) {
     this(channel, body, false, whenWritten, () -> {});
   }
 
   /**
-   * One for this body.
+   * Creates a writer for this body.
    *
-   * @param chunked whether each piece is preceded by its length, for a body whose length its
-   *     receiver is not told
-   * @param whenWritten is told when the last byte has gone to the socket
-   * @param whenBroken is told instead when the rest of a body will not come: what was written is no
-   *     whole message
+   * @param chunked whether to use chunked transfer encoding, for a body whose length is not
+   *     declared to the receiver
+   * @param whenWritten notified when the last byte was handed to the socket
+   * @param whenBroken called instead if the remainder of the body will not arrive, so that the
+   *     written message is incomplete
    */
   public BodyWriter(
       Channel channel,
@@ -59,7 +59,7 @@
     bufferedLength = body.bufferedLength();
   }
 
-  /** Begins with this head; the end may be told before this returns. */
+  /** Writes the head and starts on the body; completion may be reported before this returns. */
   public void start(HeadWriter head) {
     if (body.remainder() == null && !chunked && body.bufferedLength() <= PIECE_BYTES) {
       done = true;
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Goes on; to be called whenever the channel has become writable. */
+  /** Continues writing; to be called whenever the channel becomes writable. */
   public void resume() {
     while (!done && offset < bufferedLength && channel.isWritable()) {
       ByteBuf piece = body.slice(offset, PIECE_BYTES);
@@ -116,12 +116,14 @@
     piecesWritten++;
   }
 
-  /** How many pieces the peer has taken so far: while it stands still the peer does not read. */
+  /**
+   * The number of pieces written to the socket; if it does not increase, the peer does not read.
+   */
   public long piecesWritten() {
     return piecesWritten;
   }
 
-  /** Whether something waits for the peer to take it, rather than for its source. */
+  /** Whether written bytes wait for the peer, rather than the writer for its source. */
   public boolean isAwaitingPeer() {
     return done || piecesInFlight > 0;
   }
@@ -146,7 +148,10 @@
     whenTruncated.run();
   }
 
-  /** Nobody takes what is written any more: the rest need not come. */
+  /**
+   * Stops writing, because the message has no receiver any more, and discards the remainder of the
+   * body.
+   */
   public void abandon() {
     done = true;
     body.abandon();
--- a/src/main/java/hazelspoke/http/ChannelBodySource.java
+++ b/src/main/java/hazelspoke/http/ChannelBodySource.java
@@ -3,7 +3,7 @@
 import hazelspoke.core.BodyStream;
 import io.netty.channel.Channel;
 
-/** The side of an inflow that reads a channel, and pauses by reading no more from it. */
+/** A source of a body stream that reads from a channel and pauses by disabling auto-read. */
 public abstract class ChannelBodySource implements BodyStream.Source {
   private final Channel channel;
 
--- a/src/main/java/hazelspoke/http/HeadWriter.java
+++ b/src/main/java/hazelspoke/http/HeadWriter.java
@@ -9,8 +9,8 @@
 import java.util.Arrays;
 
 /**
- * Writes the head of a message as bytes, straight from what the core holds. What goes into it was
- * read by a strict decoder or made here: nothing in it may hold a line's end, as nothing checks.
+ * Writes the head of a message directly from the core's metadata. The values come from a strict
+ * decoder or from the gateway itself; line breaks in them are not checked for here.
  */
 public final class HeadWriter {
   private static final int INITIAL_BYTES = 512;
@@ -22,7 +22,7 @@
 
   private final ByteBufAllocator allocator;
 
-  /** On the heap: a write of a few bytes outside it costs more than they are worth. */
+  /** On the heap, because small writes to a direct buffer are expensive. */
   private byte[] bytes = new byte[INITIAL_BYTES];
 
   private int length;
@@ -31,14 +31,14 @@
     this.allocator = allocator;
   }
 
-  /** Begins a request. */
+  /** Starts a request. */
   public static HeadWriter request(ByteBufAllocator allocator, String method, String target) {
     HeadWriter head = new HeadWriter(allocator);
     head.put(method).put(SPACE).put(target).put(REQUEST_LINE_END);
     return head;
   }
 
-  /** Begins an answer. */
+  /** Starts a response. */
   public static HeadWriter response(ByteBufAllocator allocator, HttpResponseStatus status) {
     HeadWriter head = new HeadWriter(allocator);
     head.put(STATUS_LINE_START).put(status.codeAsText()).put(SPACE);
@@ -51,7 +51,7 @@
     return put(name).put(SEPARATOR).put(value).put(CRLF);
   }
 
-  /** Adds headers. */
+  /** Adds all metadata as headers. */
   public HeadWriter add(Metadata metadata) {
     for (int i = 0; i < metadata.size(); i++) {
       add(metadata.name(i), metadata.value(i));
@@ -59,7 +59,10 @@
     return this;
   }
 
-  /** Ends it, with room for so many bytes more; whoever takes the bytes releases them. */
+  /**
+   * Ends the head and returns it in a buffer with capacity for {@code extraBytes} more; the caller
+   * releases it.
+   */
   public ByteBuf finish(int extraBytes) {
     put(CRLF);
     return allocator.directBuffer(length + extraBytes).writeBytes(bytes, 0, length);
--- a/src/main/java/hazelspoke/http/Headers.java
+++ b/src/main/java/hazelspoke/http/Headers.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** The headers of this deployment's protocol, and those that end at a gateway. */
+/** The headers of the deployment's protocol, and those that are not forwarded. */
 public final class Headers {
   public static final AsciiString TXN = AsciiString.cached("X-Txn");
   public static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
@@ -29,12 +29,12 @@
 
   private Headers() {}
 
-  /** Whether a header has this name, whatever its case. */
+  /** Whether a header has this name, ignoring case. */
   public static boolean is(CharSequence name, AsciiString known) {
     return known.contentEqualsIgnoreCase(name);
   }
 
-  /** What of an answer's headers goes on to its other end. */
+  /** The headers of a response that are forwarded. */
   public static Metadata endToEnd(HttpHeaders from) {
     Metadata to = new Metadata();
     Set<String> listed = listedInConnection(from);
@@ -49,10 +49,10 @@
   }
 
   /**
-   * Whether a header goes on: not if it speaks of one connection or of how a message is cut, nor if
-   * it is made anew for each, as the host's name and the time that is left.
+   * Whether a header is forwarded. Headers that apply to one connection or to message framing are
+   * not, nor are those set anew for each hop, such as the host name and the remaining time.
    *
-   * @param listed as {@link #listedInConnection} says
+   * @param listed the names returned by {@link #listedInConnection}
    */
   public static boolean isEndToEnd(CharSequence name, Set<String> listed) {
     boolean isConsumedHere =
@@ -71,12 +71,12 @@
     return !isConsumedHere && !isListed(name, listed);
   }
 
-  /** Whether the sender named a header as one for this connection only. */
+  /** Whether the sender listed a header as specific to this connection. */
   public static boolean isListed(CharSequence name, Set<String> listed) {
     return !listed.isEmpty() && listed.contains(name.toString().toLowerCase(Locale.ROOT));
   }
 
-  /** The names, in small letters, that {@code Connection} lists. */
+  /** The names, in lower case, that the {@code Connection} headers list. */
   public static Set<String> listedInConnection(HttpHeaders headers) {
     List<String> values = headers.getAll(HttpHeaderNames.CONNECTION);
     if (values.isEmpty()) {
@@ -89,8 +89,9 @@
   }
 
   /**
-   * A time in seconds, to the millisecond below. Every request bears one, and {@link String#format}
-   * alone took a fifteenth of the time that a request takes in a gateway just started.
+   * A time in seconds, truncated to milliseconds. It is sent with every request, and {@link
+   * String#format} alone took a fifteenth of the processing time of a request in a newly started
+   * gateway.
    */
   public static String formatSeconds(double ms) {
     long whole = (long) ms;
--- a/src/main/java/hazelspoke/http/HttpLimits.java
+++ b/src/main/java/hazelspoke/http/HttpLimits.java
@@ -3,9 +3,9 @@
 import hazelspoke.net.Buffers;
 import io.netty.handler.codec.http.HttpDecoderConfig;
 
-/** What a message's head may be at most. */
+/** The size limits of a message's head. */
 public final class HttpLimits {
-  /** Long headers occur; heads beyond this are refused. */
+  /** Long headers are legitimate; heads above these limits are rejected. */
   private static final int MAX_LINE_BYTES = 16_384;
 
   private static final int MAX_HEAD_BYTES = 32_768;
--- a/src/main/java/hazelspoke/net/Addresses.java
+++ b/src/main/java/hazelspoke/net/Addresses.java
@@ -5,13 +5,16 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Socket addresses as text. Only figures: there is no DNS, and a look-up would stop the loop. */
+/**
+ * Socket addresses as text. Only numeric addresses: there is no DNS, and a lookup would block the
+ * event loop.
+ */
 public final class Addresses {
   private static final int MAX_PORT = 65_535;
 
   private Addresses() {}
 
-  /** The address that {@code text}, such as 10.0.0.4:8081, stands for; null if it is none. */
+  /** Parses an address such as 10.0.0.4:8081; returns null if it is invalid. */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     byte[] ip =
@@ -29,7 +32,7 @@
     }
   }
 
-  /** An address as {@link #parse} takes it. */
+  /** Formats an address in the form that {@link #parse} accepts. */
   public static String text(InetSocketAddress address) {
     return address.getHostString() + ":" + address.getPort();
   }
--- a/src/main/java/hazelspoke/net/Buffers.java
+++ b/src/main/java/hazelspoke/net/Buffers.java
@@ -6,25 +6,33 @@
 import io.netty.channel.RecvByteBufAllocator;
 import io.netty.channel.WriteBufferWaterMark;
 
-/** The sizes of the buffers at the sockets: small, as a thousand sockets may each hold some. */
+/**
+ * The sizes of the socket buffers. They are small because a thousand sockets may each hold some.
+ */
 public final class Buffers {
   private static final int PAGE_BYTES = 8_192;
 
-  /** Chunks of 1 MiB, or the pool would take memory in steps that do not fit the limit. */
+  /**
+   * Chunks of 1 MiB; with larger ones the pool would grow in steps that do not fit the memory
+   * limit.
+   */
   private static final int CHUNK_ORDER = 7;
 
   private static final int MIN_READ_BYTES = 512;
   private static final int INITIAL_READ_BYTES = 2_048;
   public static final int MAX_READ_BYTES = 16_384;
 
-  /** Of each size so many are kept at hand, which spares the arena's lock; large ones are not. */
+  /**
+   * The number of cached buffers per small size, which avoids taking the arena's lock; large
+   * buffers are not cached.
+   */
   private static final int SMALL_CACHE_SIZE = 16;
 
-  /** One arena, as there is one thread; little is cached, as that holds on to memory. */
+  /** One arena, because there is one thread. The caches are small because they retain memory. */
   public static final ByteBufAllocator ALLOCATOR =
       new PooledByteBufAllocator(true, 0, 1, PAGE_BYTES, CHUNK_ORDER, SMALL_CACHE_SIZE, 0, false);
 
-  /** What a connection may have waiting to be written before its source is asked to stop. */
+  /** The bytes that may be pending for write at a connection before its source is paused. */
   public static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16_384, 32_768);
 
   private Buffers() {}
--- a/src/main/java/hazelspoke/net/EventLoops.java
+++ b/src/main/java/hazelspoke/net/EventLoops.java
@@ -8,11 +8,11 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
-/** Where the event loops of this program are made. */
+/** Creates the event loops of this program. */
 public final class EventLoops {
   private EventLoops() {}
 
-  /** A group of one loop, over the sockets of the JDK. */
+  /** A group of one event loop on JDK selectors. */
   public static EventLoopGroup single() {
     return new MultiThreadIoEventLoopGroup(1, withoutBusyPolling(NioIoHandler.newFactory()));
   }
@@ -23,7 +23,7 @@
         1, new DefaultThreadFactory(thread, true), withoutBusyPolling(NioIoHandler.newFactory()));
   }
 
-  /** The handlers of a factory, which wait for timers in place of polling. */
+  /** Wraps the handlers of a factory so that they wait for timers instead of polling. */
   static IoHandlerFactory withoutBusyPolling(IoHandlerFactory handlers) {
     return new IoHandlerFactory() {
       @Override
--- a/src/main/java/hazelspoke/net/Listener.java
+++ b/src/main/java/hazelspoke/net/Listener.java
@@ -5,28 +5,29 @@
 import java.util.List;
 
 /**
- * A TCP listener that can be closed with nobody left waiting in it. Connections that the kernel has
- * accepted belong to one listener, also where several share an address; with a plain close they are
- * reset.
+ * A TCP listener that can accept all pending connections before it is closed. Connections in the
+ * kernel's accept queue belong to one listener even if several share an address; a plain close
+ * resets them.
  */
 public final class Listener extends NioServerSocketChannel {
   /**
-   * Takes in who waits, and closes if that were all; on the loop. Who comes between the last look
-   * and the close, which takes effect at the loop's next turn, is still reset.
+   * Accepts the pending connections, and closes the listener if the accept queue is then empty; on
+   * the event loop. A connection that arrives between the last accept and the close, which takes
+   * effect in the next event-loop iteration, is still reset.
    *
-   * @param most how many may be taken in
-   * @return whether it is closed; otherwise somebody may wait still
+   * @param maxAccepted the maximum number of connections to accept
+   * @return whether the listener was closed; if not, connections may still be pending
    */
   public boolean acceptPendingAndClose(int maxAccepted) {
     List<Object> accepted = new ArrayList<>();
     boolean isEmpty = false;
     try {
       while (!isEmpty && accepted.size() < maxAccepted) {
-        // One at a time, until there is none.
+        // Accepts one connection per call until the queue is empty.
         isEmpty = doReadMessages(accepted) <= 0;
       }
     } catch (Exception e) {
-      // Out of descriptors, for one: who could not be taken in waits on.
+      // For example out of file descriptors: connections that were not accepted stay in the queue.
       pipeline().fireExceptionCaught(e);
     }
     if (isEmpty) {
--- a/src/main/java/hazelspoke/net/SocketPolling.java
+++ b/src/main/java/hazelspoke/net/SocketPolling.java
@@ -6,33 +6,35 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The order of things on a loop, whose every turn reads the sockets first and then does its tasks.
+ * Orders work on an event loop, which in each iteration reads its sockets before it runs its tasks.
  */
 public final class SocketPolling {
-  /** A look at the sockets that is older than this is taken again, in milliseconds. */
+  /** The maximum age of a poll of the sockets, in milliseconds; an older one is repeated. */
   static final long MAX_POLL_AGE_MS = 50;
 
-  /** So many looks are taken at most: a loop whose every turn is long still has to get on. */
+  /**
+   * The maximum number of polls, so that a loop whose every iteration is long still makes progress.
+   */
   static final int MAX_POLLS = 3;
 
   private SocketPolling() {}
 
   /**
-   * Does something once all sockets have been looked at again: whatever a peer has said by now, an
-   * end for one, is read before. A loop may stand still between its reading and its tasks, so that
-   * what a task knows of its peers is old by as much. It may also stand still right behind that
-   * second look, while another socket's bytes are handled; then there is a third. Costs a look that
-   * does not wait; on the loop.
+   * Runs a task after all sockets were polled again, so that what peers have sent by now, such as a
+   * close, is read before the task. The loop may stall between reading its sockets and running its
+   * tasks, and a task's knowledge of its peers is then out of date. It may also stall after the
+   * second poll, while it handles another socket's bytes; a third poll follows in that case. Costs
+   * a non-blocking poll; to be called on the loop.
    */
   public static void afterPoll(EventLoop loop, Runnable task) {
     loop.execute(() -> poll(loop, task, MAX_POLLS));
   }
 
   /**
-   * Reads at once what lies at one socket, whatever the last look at all of them said: what its
-   * peer has sent is handled, and its end is told, before this returns. To be called right before
-   * something is begun for that peer or its connection is ended, as the loop may have stood still
-   * since it looked. Costs one call of the kernel; on the loop, and not while that channel is being
+   * Reads pending bytes of one socket immediately, independent of the last poll: what the peer has
+   * sent is handled, and a close is reported, before this returns. To be called before starting
+   * work for that peer or closing its connection, because the loop may have stalled since its last
+   * poll. Costs one system call; to be called on the loop, and not while that channel is being
    * read.
    */
   public static void readPending(Channel channel) {
@@ -43,7 +45,10 @@
     }
   }
 
-  /** For a task of the loop: due timers are fetched before these, and so are of the next turn. */
+  /**
+   * Must be called from a task of the loop: due timers are collected before tasks run, so the timer
+   * scheduled here runs in the next iteration.
+   */
   private static void poll(EventLoop loop, Runnable task, int pollsLeft) {
     long scheduledAtNanos = loop.ticker().nanoTime();
     Runnable afterPoll =
--- a/src/main/java/hazelspoke/net/TimerRoundingIoHandler.java
+++ b/src/main/java/hazelspoke/net/TimerRoundingIoHandler.java
@@ -6,18 +6,19 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * Has an NIO handler wait until the next timer is due, never shorter. A selector waits for whole
- * milliseconds, and Netty rounds the delay to the nearest: with half a millisecond or less to go it
- * polls, and its loop turns thousands of times before the timer is due. Where a process has a part
- * of a core only, the time burnt so is missing right afterwards, and the loop stands still. Rounded
- * up, a timer is up to a millisecond late and costs one turn.
+ * Makes an NIO handler wait at least until the next timer is due. A selector waits for whole
+ * milliseconds, and Netty rounds the delay to the nearest: with half a millisecond or less left it
+ * does not block, and the loop iterates thousands of times until the timer is due. In a process
+ * limited to a fraction of a core, the CPU time spent this way is missing immediately afterwards,
+ * and the loop stalls. With the delay rounded up, a timer is up to a millisecond late and costs one
+ * iteration.
  */
 final class TimerRoundingIoHandler implements IoHandler {
   private static final long NANOS_PER_MS = 1_000_000;
 
   private final IoHandler handler;
 
-  /** A loop gives its handler the same context at each turn. */
+  /** A loop passes the same context to its handler in each iteration. */
   private IoHandlerContext lastContext;
 
   private IoHandlerContext roundedContext;
@@ -65,7 +66,10 @@
     return handler.isCompatible(type);
   }
 
-  /** Tells delays in whole milliseconds, rounded up; what is due, and no timer at all, stay. */
+  /**
+   * Reports delays rounded up to whole milliseconds; elapsed delays and the absence of a timer are
+   * unchanged.
+   */
   private record RoundedUpContext(IoHandlerContext context) implements IoHandlerContext {
     @Override
     public boolean canBlock() {
--- a/src/main/java/hazelspoke/net/Transport.java
+++ b/src/main/java/hazelspoke/net/Transport.java
@@ -11,9 +11,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Of what make a gateway's sockets are, and where an address lies: at itself in service, in a file
- * of its own while a warm-up plays. Delay-free sending and reuse of the address are what TCP has
- * here unasked.
+ * The socket types of a gateway and the mapping of addresses: unchanged in service, and to a socket
+ * file during warm-up. Both TCP_NODELAY and address reuse are defaults for TCP sockets.
  */
 public record Transport(
     Class<? extends ServerChannel> serverChannelType,
@@ -27,7 +26,7 @@
           UnaryOperator.identity(),
           UnaryOperator.identity());
 
-  /** Sockets in the file system: whoever is called, it is the one that listens at {@code peer}. */
+  /** Unix domain sockets: connections to any address go to the listener at {@code peerPath}. */
   public static Transport unixSockets(Path ownPath, Path peerPath) {
     return new Transport(
         NioServerDomainSocketChannel.class,
--- a/src/main/java/hazelspoke/net/UnixSocketSupport.java
+++ b/src/main/java/hazelspoke/net/UnixSocketSupport.java
@@ -10,19 +10,19 @@
 import java.nio.file.Path;
 
 /**
- * Whether sockets in the file system carry anything between two ends in this process. Not every
- * platform has them, and one may let them be made, connected and written to with nobody ever
- * arriving at the other end: what waits for such a peer waits in vain.
+ * Checks whether Unix domain sockets transfer data between two endpoints in this process. Some
+ * platforms lack them, and on others they can be created, connected and written to while nothing
+ * arrives at the other end; waiting for such a peer would never end.
  */
 public final class UnixSocketSupport {
   private UnixSocketSupport() {}
 
   /**
-   * Tries it with one byte, without waiting. The kernel completes a connection in the call itself
-   * and has the byte at the other end when the write returns (unix(7)), so what is not there at
-   * once does not come.
+   * Tests the transfer of one byte without waiting. The kernel completes the connection in the call
+   * itself and makes the byte available to the peer when the write returns (unix(7)), so what has
+   * not arrived by then will not arrive.
    *
-   * @param at a path that does not exist, in a folder that may be written to; it is left as it was
+   * @param path a path that does not exist, in a writable folder; the socket file is deleted
    */
   public static boolean isAvailable(Path path) {
     UnixDomainSocketAddress address = UnixDomainSocketAddress.of(path);
@@ -35,12 +35,12 @@
       try {
         Files.deleteIfExists(path);
       } catch (IOException e) {
-        // Whoever owns the folder clears it.
+        // The owner of the folder deletes it.
       }
     }
   }
 
-  /** Whether one who calls there arrives here. */
+  /** Whether a connection to this address arrives at this server and transfers data. */
   static boolean canTransfer(ServerSocketChannel server, UnixDomainSocketAddress address)
       throws IOException {
     server.configureBlocking(false);
