--- a/src/test/java/hazelspoke/core/BodyStreamTest.java
+++ b/src/test/java/hazelspoke/core/BodyStreamTest.java
@@ -8,11 +8,11 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Any order of reading, writing, pausing and breaking off. */
+/** Random sequences of reads, writes, pauses and failures. */
 class BodyStreamTest {
   private static final int MAX_READ_BYTES = 4_096;
 
-  /** Plays one course of events; the seed is printed with a failure. */
+  /** Runs one random sequence of events; the seed is printed with a failure. */
   @Property(tries = 2_000)
   void deliversAllInOrderWithOneEndAndBoundedBuffer(@ForAll long seed) {
     Random random = new Random(seed);
@@ -44,7 +44,7 @@
             }
             boolean more = random.nextInt(3) > 0;
             if (!more && random.nextInt(4) == 0) {
-              // A socket that takes it at once says so before this returns.
+              // A socket that writes immediately calls pull before this returns.
               stream.pull();
               return true;
             }
--- a/src/test/java/hazelspoke/core/ClassRegistryTest.java
+++ b/src/test/java/hazelspoke/core/ClassRegistryTest.java
@@ -15,13 +15,16 @@
 import ternscale.api.Settings.Effect;
 import ternscale.api.Settings.RequestClass;
 
-/** Classes keep their places, whatever settings come. */
+/** Classes keep their indices across reloads of the settings. */
 class ClassRegistryTest {
   private static RequestClass type(Effect effect, double deadlineMs) {
     return new RequestClass(1, 0, deadlineMs, 1, 0, effect, DedupScope.ALL, 0, false);
   }
 
-  /** Names of the days' classes, as bits of a number; their effect as another's. */
+  /**
+   * Each number encodes one reload: the low bits select the class names, the high bits their
+   * effects.
+   */
   @Property(tries = 300)
   void findsClassesOfNewestSettingsAndKeepsIndices(
       @ForAll @Size(min = 1, max = 30) List<@IntRange(min = 1, max = 1023) Integer> reloads) {
@@ -46,7 +49,8 @@
         int index = next.find(names.get(i), effect, nowMs);
         assertThat(next.names().get(index)).isEqualTo(names.get(i));
         assertThat(next.type(index)).isEqualTo(types.get(i));
-        // Once all have heard, the other form gets the present class too, and its refusal.
+        // After the grace period, requests in the other form get the current class too, and are
+        // refused.
         Effect other = effect == Effect.ONCE ? Effect.BY_KEY : Effect.ONCE;
         double later = nowMs + ClassRegistry.REMOVAL_GRACE_MS + 1;
         assertThat(next.find(names.get(i), other, later)).isEqualTo(index);
--- a/src/test/java/hazelspoke/core/DeadlineQueueTest.java
+++ b/src/test/java/hazelspoke/core/DeadlineQueueTest.java
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Held against a sorted list: each step puts one in, takes one back, or polls. */
+  /** Compares the queue with a sorted list; each step adds, removes or polls an entry. */
   @Property(seed = "1")
   void behavesLikeSortedList(
       @ForAll @Size(max = 400) List<@IntRange(min = 0, max = 99) Integer> steps) {
--- a/src/test/java/hazelspoke/core/DispatcherFixture.java
+++ b/src/test/java/hazelspoke/core/DispatcherFixture.java
@@ -19,11 +19,11 @@
 import ternscale.api.Settings.Effect;
 import ternscale.api.Settings.RequestClass;
 
-/** A dispatcher between a front and a back that speak no protocol, in time that is made here. */
+/** A dispatcher with a front end and a back end that use no protocol, under simulated time. */
 final class DispatcherFixture implements HostTransport, Discovery {
   static final double DEADLINE_MS = 1_000;
 
-  /** An asker; keeps what it was answered. */
+  /** A client that records its answers. */
   static final class RecordingClient implements Client {
     final List<Answer> answers = new ArrayList<>();
     boolean disconnected;
@@ -42,7 +42,7 @@
     }
   }
 
-  /** A call at a host, which ends as the test says. */
+  /** A call to a host, ended by the test. */
   final class Call implements CallHandle {
     final HostCall call;
     boolean sent;
@@ -68,7 +68,7 @@
       calls.remove(this);
     }
 
-    /** Writes it: what is asked has to be there still. */
+    /** Writes the call; its request must still be available. */
     void write() {
       if (!sent) {
         sent = true;
@@ -146,7 +146,7 @@
         Settings.WeightMeaning.NONE);
   }
 
-  /** A request with a body, whole and handed over. */
+  /** Hands over a complete request with a body. */
   RecordingClient sendRequest() {
     RecordingClient client = new RecordingClient();
     ByteBudget.Share share = requestBudget.share(() -> {});
@@ -175,7 +175,7 @@
     dispatcher.onClientDisconnected(client.exchange);
   }
 
-  /** Lets time pass, step by step as a loop would. */
+  /** Advances the time in steps of 1 ms and runs the event loop after each. */
   void advance(long ms) {
     for (long i = 0; i < ms; i++) {
       ticker.advanceMillis(1);
@@ -183,7 +183,7 @@
     }
   }
 
-  /** One turn of the loop, and those that follow from it at once. */
+  /** Runs the scheduled and pending tasks of the event loop. */
   void runLoop() {
     channel.runScheduledPendingTasks();
     channel.runPendingTasks();
--- a/src/test/java/hazelspoke/core/DispatcherTest.java
+++ b/src/test/java/hazelspoke/core/DispatcherTest.java
@@ -20,16 +20,16 @@
 import ternscale.api.RequestInfo;
 import ternscale.api.Settings;
 
-/** What the core promises to fronts and backs, whatever they and the module do. */
+/** The guarantees of the core to front ends and back ends, whatever they and the balancer do. */
 class DispatcherTest {
   private static final long TIMEOUT_MS = 60_000;
 
-  /** An attempt is waited for until an eighth of the client's patience is left. */
+  /** An attempt times out when an eighth of the client's deadline is left. */
   private static final long ATTEMPT_TIMEOUT_MS = (long) (DispatcherFixture.DEADLINE_MS * 7 / 8);
 
   /**
-   * A module that asks for anything at any time, sense or not: attempts of what has ended, two
-   * answers, none at all, things of requests that there never were; and that fails now and then.
+   * A balancer that calls random actions, valid or not: attempts of ended or unknown requests, two
+   * answers or none; and that throws at random.
    */
   private static final class RandomBalancer implements Balancer {
     private final Actions actions;
@@ -108,7 +108,7 @@
     public void close() {}
   }
 
-  /** Sends each request once, and hears of it; an error fails it. */
+  /** Sends each request once and records its outcome; fails the request unless it has ended. */
   static class SingleAttemptBalancer implements Balancer {
     final Actions actions;
     final List<Outcome> outcomes = new ArrayList<>();
@@ -201,7 +201,8 @@
     }
     assertThat(fixture.remainingMs).allMatch(ms -> ms >= 0 && ms <= DispatcherFixture.DEADLINE_MS);
     assertThat(fixture.written).hasSize(written);
-    // Calls that the module never took back end late; nobody is told, and what they hold goes.
+    // Calls that the balancer never cancelled end late; nobody is notified, and their bytes are
+    // released.
     List.copyOf(fixture.calls).forEach(call -> call.end(Result.OK));
     fixture.advance(400);
     List.copyOf(fixture.calls).forEach(call -> call.end(Result.ERROR));
@@ -217,7 +218,9 @@
     }
   }
 
-  /** Long before their deadlines: what is kept is in proportion to what is open. */
+  /**
+   * Checked long before their deadlines: the retained memory is proportional to the open requests.
+   */
   @Test
   void keepsNoReferenceToAnsweredRequests() throws Exception {
     DispatcherFixture fixture = new DispatcherFixture(100, SingleAttemptBalancer::new);
@@ -238,7 +241,10 @@
     assertThat(fixture.dispatcher.retainedCount()).isZero();
   }
 
-  /** The client has gone, the host has not answered: only the attempt's account is kept. */
+  /**
+   * The client has disconnected and the host has not responded: only what is needed to report the
+   * attempt's outcome is kept.
+   */
   @Test
   void releasesRequestOfDisconnectedClientWhileAttemptIsInFlight() throws Exception {
     SingleAttemptBalancer[] module = new SingleAttemptBalancer[1];
@@ -273,7 +279,7 @@
     assertThat(fixture.log.toString()).isEmpty();
   }
 
-  /** All deadlines in one millisecond, and the answer of one in the very turn of its time-out. */
+  /** All deadlines in the same millisecond, and one response in the iteration of its timeout. */
   @Test
   void answersTenThousandRequestsWithTheSameDeadlineOnceEach() {
     DispatcherFixture fixture = new DispatcherFixture(10_000, SingleAttemptBalancer::new);
@@ -293,7 +299,7 @@
     assertThat(fixture.dispatcher.retainedCount()).isZero();
   }
 
-  /** A client that is told at its deadline has stopped listening when that comes. */
+  /** An answer that is sent only at the deadline arrives after the client has stopped waiting. */
   @Test
   void timesOutAttemptBeforeTheClientDeadline() {
     DispatcherFixture fixture = new DispatcherFixture(100, SingleAttemptBalancer::new);
@@ -308,7 +314,7 @@
     assertThat(fixture.calls).isEmpty();
   }
 
-  /** Of an attempt that begins later still, half of what is left is its host's. */
+  /** An attempt that starts within the reserve gets half of the remaining time. */
   @Test
   void givesLateAttemptHalfOfTheRemainingTime() {
     DispatcherFixture fixture =
@@ -336,7 +342,7 @@
     assertThat(client.answers).hasSize(1);
   }
 
-  /** A stalled loop reads its sockets before its timers fire. */
+  /** After a stall the loop reads its sockets before its timers fire. */
   @Test
   void answersOverdueRequestBeforeNewOnesAfterStall() {
     DispatcherFixture fixture = new DispatcherFixture(100, SingleAttemptBalancer::new);
@@ -346,7 +352,7 @@
     assertThat(overdue.answers).hasSize(1);
   }
 
-  /** An answer that lies unread may still come in time. */
+  /** A response that has not been read yet may still be in time. */
   @Test
   void keepsRequestOpenUntilItsDeadlineWhenAnotherArrives() {
     DispatcherFixture fixture = new DispatcherFixture(100, SingleAttemptBalancer::new);
@@ -369,7 +375,7 @@
     assertThat(fixture.sendRequest().answers).isEmpty();
   }
 
-  /** Each reason has its own cause here, and an answer in time has none. */
+  /** Each reason is caused once here; an answer in time has none. */
   @Test
   void logsReasonOfLateAnswer() {
     DispatcherFixture fixture = new DispatcherFixture(100, SingleAttemptBalancer::new);
--- a/src/test/java/hazelspoke/core/ShutdownDeadlineTest.java
+++ b/src/test/java/hazelspoke/core/ShutdownDeadlineTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The process has to have answered everything by a time that is sooner than the deadlines. */
+/** During shutdown all requests must be answered before their own deadlines. */
 class ShutdownDeadlineTest {
   private static final long SHUTDOWN_MS = 200;
 
--- a/src/test/java/hazelspoke/net/EventLoopsTest.java
+++ b/src/test/java/hazelspoke/net/EventLoopsTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A loop that has nothing to do until its next timer waits for it. */
+/** An event loop without work blocks until its next timer is due. */
 class EventLoopsTest {
-  /** Remembers for how long it was told that it may wait. */
+  /** Records the delay that it is given. */
   private static final class Recording implements IoHandler {
     private long delayNanos;
 
@@ -38,7 +38,7 @@
     }
   }
 
-  /** What a loop tells its handler; the next timer is due after so long. */
+  /** The context that a loop passes to its handler, with the delay until the next timer. */
   private record Context(long delayNanos) implements IoHandlerContext {
     @Override
     public boolean canBlock() {
@@ -57,9 +57,8 @@
   }
 
   /**
-   * Selectors wait for whole milliseconds, and their handler rounds to the nearest: told of half a
-   * millisecond or less it does not wait at all, and the loop turns over and over until the timer
-   * is due.
+   * Selectors wait for whole milliseconds, and their handler rounds to the nearest: with half a
+   * millisecond or less it does not block, and the loop spins until the timer is due.
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/hazelspoke/net/SocketPollingTest.java
+++ b/src/test/java/hazelspoke/net/SocketPollingTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What is done after reading knows what peers have said, wherever the loop stood still. */
+/** A task run after a poll sees what peers have sent, wherever the event loop has stalled. */
 class SocketPollingTest {
   private static final int TIMEOUT_S = 30;
 
@@ -61,7 +61,7 @@
     }
   }
 
-  /** The look has been taken, and something else of the same turn stands still before the task. */
+  /** The loop stalls after the poll, in another task of the same iteration. */
   @Test
   void readsBytesThatArriveWhileLoopIsStalledAfterPoll() throws Exception {
     InetSocketAddress address = (InetSocketAddress) listen().localAddress();
@@ -73,14 +73,14 @@
       CompletableFuture<Integer> readBefore = new CompletableFuture<>();
       loop.execute(
           () -> {
-            // Both are due in the next turn, this one first.
+            // Both are due in the next iteration, this one first.
             loop.execute(
                 () -> loop.schedule(() -> stall(stalled, resume), 0, TimeUnit.NANOSECONDS));
             SocketPolling.afterPoll(loop, () -> readBefore.complete(bytesRead.get()));
           });
       await(stalled);
       peer.getOutputStream().write('b');
-      // Far longer than a look stays good; that it is longer is all that counts.
+      // Only has to exceed the maximum age of a poll.
       TimeUnit.MILLISECONDS.sleep(4 * SocketPolling.MAX_POLL_AGE_MS);
       resume.countDown();
       assertThat(readBefore.get(TIMEOUT_S, TimeUnit.SECONDS)).isEqualTo(2);
@@ -92,7 +92,7 @@
     await(resume);
   }
 
-  /** Every turn is long: the task still gets its turn, after so many looks. */
+  /** Every iteration is long: the task still runs after the maximum number of polls. */
   @Test
   void runsTaskThoughEveryIterationIsLong() throws Exception {
     AtomicInteger stalls = new AtomicInteger();
--- a/src/test/java/hazelspoke/net/UnixSocketSupportTest.java
+++ b/src/test/java/hazelspoke/net/UnixSocketSupportTest.java
@@ -22,7 +22,10 @@
     assertThat(UnixSocketSupport.isAvailable(folder.resolve("x".repeat(200)))).isFalse();
   }
 
-  /** Connected all right, and nobody came: the case in which a start waited for 2 s. */
+  /**
+   * The connection succeeds, but nothing arrives at the server. A start of the gateway waited 2 s
+   * in this case.
+   */
   @Test
   void doesNotWaitForConnectionThatNeverArrives(@TempDir Path folder) throws Exception {
     UnixDomainSocketAddress elsewhere = UnixDomainSocketAddress.of(folder.resolve("elsewhere"));
