--- a/src/main/java/hazelspoke/core/Attempt.java
+++ b/src/main/java/hazelspoke/core/Attempt.java
@@ -103,7 +103,9 @@
     return mayHaveRun;
   }
 
-  /** Sets the timeout, counted from now; infinite while the request is still being received. */
+  /**
+   * Sets the timeout, counted from now; no effect if infinite, as while the request is received.
+   */
   void setTimeout(double timeoutMs) {
     if (!ended && timeoutMs < Double.POSITIVE_INFINITY) {
       services.timers().remove(this);
--- a/src/main/java/hazelspoke/core/BodyStream.java
+++ b/src/main/java/hazelspoke/core/BodyStream.java
@@ -101,7 +101,7 @@
    */
   public void attach(Sink newSink) {
     if (sink != null) {
-      throw new IllegalStateException("this has gone elsewhere already");
+      throw new IllegalStateException("a sink is already attached");
     }
     sink = newSink;
     source.onAttached();
--- a/src/main/java/hazelspoke/core/ClassRegistry.java
+++ b/src/main/java/hazelspoke/core/ClassRegistry.java
@@ -53,7 +53,7 @@
    */
   public ClassRegistry reloaded(List<String> names, List<RequestClass> types, double nowMs) {
     if (names.contains("") || new HashSet<>(names).size() < names.size()) {
-      throw new IllegalArgumentException("every class needs a name of its own: " + names);
+      throw new IllegalArgumentException("class names must be unique and not empty: " + names);
     }
     List<Entry> next = new ArrayList<>();
     for (Entry e : entries) {
--- a/src/main/java/hazelspoke/core/DeadlineQueue.java
+++ b/src/main/java/hazelspoke/core/DeadlineQueue.java
@@ -47,7 +47,7 @@
    */
   void add(Entry entry, double dueMs) {
     if (entry.index >= 0) {
-      throw new IllegalStateException("this is in already");
+      throw new IllegalStateException("the entry is already queued");
     }
     if (size == heap.length) {
       heap = Arrays.copyOf(heap, 2 * size);
--- a/src/main/java/hazelspoke/core/Dispatcher.java
+++ b/src/main/java/hazelspoke/core/Dispatcher.java
@@ -89,19 +89,19 @@
     return violations;
   }
 
-  public void start(Balancer module, Discovery discoveryClient) {
-    balancer = module;
+  public void start(Balancer newBalancer, Discovery discoveryClient) {
+    balancer = newBalancer;
     discovery = discoveryClient;
   }
 
   /**
    * Passes one event to the balancer. The balancer is not reentrant, so an event caused by one of
    * its actions is queued for a later event-loop iteration. If the balancer throws, the request
-   * concerned is failed, so that its client does not wait for an answer.
+   * affected is failed, so that its client does not wait for an answer.
    */
-  private void callBalancer(Exchange concerned, Runnable event) {
+  private void callBalancer(Exchange affected, Runnable event) {
     if (inBalancerCall) {
-      loop.execute(() -> callBalancer(concerned, event));
+      loop.execute(() -> callBalancer(affected, event));
       return;
     }
     inBalancerCall = true;
@@ -109,13 +109,13 @@
     try {
       event.run();
     } catch (RuntimeException e) {
-      log.failure("the module failed", e);
+      log.failure("the balancer failed", e);
       failed = true;
     } finally {
       inBalancerCall = false;
     }
-    if (failed && concerned != null) {
-      failRequest(concerned);
+    if (failed && affected != null) {
+      failRequest(affected);
     }
   }
 
@@ -148,7 +148,7 @@
     List<Exchange> unanswered =
         exchanges.values().stream().filter(exchange -> !exchange.ended).toList();
     if (!unanswered.isEmpty()) {
-      log.line("leaving with requests in hand, failed: " + unanswered.size());
+      log.line("shutting down with open requests, failed: " + unanswered.size());
       unanswered.forEach(this::failRequest);
     }
   }
@@ -321,9 +321,9 @@
               lateMs, exchange.answeredAtMs - exchange.deadlineMs, lagMs, exchange.endedAsOverdue);
       meter.onLateAnswer(reason);
       log.line(
-          "the answer to request %s left %.0f ms after its deadline, %s; lost here %.0f ms, "
+          "the answer to request %s left %.0f ms after its deadline, %s; event-loop lag %.0f ms, "
                   .formatted(exchange.id, lateMs, reason.description(), lagMs)
-              + "the longest turn ever %.0f ms, attempts %d"
+              + "largest lag so far %.0f ms, attempts %d"
                   .formatted(lag.maxLagMs(), exchange.attempts.size()));
     }
   }
@@ -388,7 +388,7 @@
     Exchange exchange = exchanges.get(requestId);
     double nowMs = clock.nowMs();
     if (exchange == null) {
-      log.line("the module sent request " + requestId + " after its end");
+      log.line("the balancer sent request " + requestId + " after it had ended");
       return;
     }
     Attempt attempt = new Attempt(services, this, exchange, host, repeatDeadlineMs(exchange));
@@ -494,7 +494,7 @@
    */
   @Override
   public void sendToPeer(int peer, String data) {
-    log.line("a message to a peer was dropped: there is no way to one");
+    log.line("dropped a message to a peer: gateways are not connected to each other");
   }
 
   @Override
--- a/src/main/java/hazelspoke/core/Log.java
+++ b/src/main/java/hazelspoke/core/Log.java
@@ -28,7 +28,7 @@
       secondStartedAtMs = now;
       lines = 0;
       if (dropped > 0) {
-        out.println("hazelspoke: " + dropped + " lines left out");
+        out.println("hazelspoke: " + dropped + " lines suppressed");
         dropped = 0;
       }
     }
--- a/src/main/java/hazelspoke/core/Violations.java
+++ b/src/main/java/hazelspoke/core/Violations.java
@@ -8,19 +8,19 @@
   /** The invariants. */
   public enum Kind {
     /** The last byte of an attempt was written after its request had ended. */
-    SENT_AFTER_END("something was sent after its end"),
+    SENT_AFTER_END("bytes were sent after it had ended"),
 
     /** A host was sent a remaining time longer than that of the client and of this process. */
-    TIME_TOLD("a host was told more time than there is"),
+    TIME_TOLD("the remaining time sent to a host was too long"),
 
     /** The gateway closed a connection while a request that had begun on it was unanswered. */
-    CLOSED_UNANSWERED("its connection was closed without an answer"),
+    CLOSED_UNANSWERED("its connection was closed before it was answered"),
 
     /** A request was given a second final answer. */
-    ANSWERED_TWICE("a second answer was given"),
+    ANSWERED_TWICE("it was answered twice"),
 
     /** The process ends while requests are unanswered. */
-    EXIT_UNANSWERED("this process ends without its answer");
+    EXIT_UNANSWERED("this process exits before it is answered");
 
     private final String description;
 
--- a/src/main/java/hazelspoke/http/BodyWriter.java
+++ b/src/main/java/hazelspoke/http/BodyWriter.java
@@ -42,7 +42,7 @@
    * @param chunked whether to use chunked transfer encoding, for a body whose length is not
    *     declared to the receiver
    * @param whenWritten notified when the last byte was handed to the socket
-   * @param whenBroken called instead if the remainder of the body will not arrive, so that the
+   * @param whenTruncated called instead if the remainder of the body will not arrive, so that the
    *     written message is incomplete
    */
   public BodyWriter(
