--- a/src/test/java/hazelspoke/core/DeadlineQueueTest.java
+++ b/src/test/java/hazelspoke/core/DeadlineQueueTest.java
@@ -24,7 +24,7 @@
 
     @Override
     void onDue() {
-      throw new AssertionError("not told by the heap itself");
+      throw new AssertionError("the queue must not run its entries");
     }
   }
 
--- a/src/test/java/hazelspoke/core/DispatcherFixture.java
+++ b/src/test/java/hazelspoke/core/DispatcherFixture.java
@@ -73,10 +73,10 @@
       if (!sent) {
         sent = true;
         if (call instanceof Attempt && call.request() == null) {
-          throw new AssertionError("something goes out for a request that has ended");
+          throw new AssertionError("a call was written for a request that has ended");
         }
         written.add(call.request());
-        remainingMs.add(call.remainingMs());
+        remainingTimesMs.add(call.remainingMs());
       }
     }
 
@@ -102,7 +102,7 @@
   final ByteBudget responseBudget = new ByteBudget(1 << 20);
   final List<Call> calls = new ArrayList<>();
   final List<Request> written = new ArrayList<>();
-  final List<Double> remainingMs = new ArrayList<>();
+  final List<Double> remainingTimesMs = new ArrayList<>();
   final Dispatcher dispatcher;
   final Clock clock = new Clock(ticker);
   private int requestCount;
--- a/src/test/java/hazelspoke/core/DispatcherTest.java
+++ b/src/test/java/hazelspoke/core/DispatcherTest.java
@@ -53,7 +53,7 @@
           case 6 -> actions.cancel(id, random.nextInt(3));
           case 7 -> actions.probe("h");
           case 8 -> actions.setTimer(random.nextInt(9), 10);
-          case 9 -> throw new IllegalStateException("a module with a bug");
+          case 9 -> throw new IllegalStateException("injected failure");
           default -> actions.closeIdle("h");
         }
       }
@@ -199,7 +199,8 @@
       assertThat(client.answers).hasSize(client.disconnected ? 0 : 1);
       assertThat(fixture.dispatcher.isOpen(client.request.txn())).isFalse();
     }
-    assertThat(fixture.remainingMs).allMatch(ms -> ms >= 0 && ms <= DispatcherFixture.DEADLINE_MS);
+    assertThat(fixture.remainingTimesMs)
+        .allMatch(ms -> ms >= 0 && ms <= DispatcherFixture.DEADLINE_MS);
     assertThat(fixture.written).hasSize(written);
     // Calls that the balancer never cancelled end late; nobody is notified, and their bytes are
     // released.
@@ -208,8 +209,8 @@
     List.copyOf(fixture.calls).forEach(call -> call.end(Result.ERROR));
     fixture.advance(400);
     checkAnswers(clients);
-    assertThat(fixture.requestBudget.usedBytes()).as("bodies").isZero();
-    assertThat(fixture.responseBudget.usedBytes()).as("answers").isZero();
+    assertThat(fixture.requestBudget.usedBytes()).as("request bodies").isZero();
+    assertThat(fixture.responseBudget.usedBytes()).as("response bodies").isZero();
   }
 
   private static void checkAnswers(List<DispatcherFixture.RecordingClient> clients) {
@@ -305,7 +306,7 @@
     DispatcherFixture fixture = new DispatcherFixture(100, SingleAttemptBalancer::new);
     DispatcherFixture.RecordingClient client = fixture.sendRequest();
     fixture.calls.get(0).write();
-    assertThat(fixture.remainingMs).containsExactly((double) ATTEMPT_TIMEOUT_MS);
+    assertThat(fixture.remainingTimesMs).containsExactly((double) ATTEMPT_TIMEOUT_MS);
     fixture.advance(ATTEMPT_TIMEOUT_MS - 1);
     assertThat(client.answers).isEmpty();
     fixture.advance(1);
@@ -406,7 +407,9 @@
     fixture.runLoop();
     fixture.advance((long) DispatcherFixture.DEADLINE_MS + 600);
     fixture.dispatcher.onAnswerWritten(shared.exchange);
-    assertThat(fixture.log.toString()).as("60 ms explain none of 660").contains("did not take it");
+    assertThat(fixture.log.toString())
+        .as("a lag of 60 ms does not explain a delay of 660 ms")
+        .contains("did not take it");
   }
 
   @Test
--- a/src/test/java/hazelspoke/core/ShutdownDeadlineTest.java
+++ b/src/test/java/hazelspoke/core/ShutdownDeadlineTest.java
@@ -32,8 +32,8 @@
     fixture.sendRequest();
     fixture.runLoop();
     fixture.calls.get(0).write();
-    assertThat(fixture.remainingMs).hasSize(1);
-    assertThat(fixture.remainingMs.get(0)).isPositive().isLessThanOrEqualTo(SHUTDOWN_MS);
+    assertThat(fixture.remainingTimesMs).hasSize(1);
+    assertThat(fixture.remainingTimesMs.get(0)).isPositive().isLessThanOrEqualTo(SHUTDOWN_MS);
   }
 
   @Test
