--- a/src/main/java/ternscale/adapter/Adapter.java
+++ b/src/main/java/ternscale/adapter/Adapter.java
@@ -34,14 +34,14 @@
     while (in.next()) {
       String msg = in.text(Field.MSG);
       if (!msg.equals("Mark")) {
-        throw in.fail("expected field msg to be Mark, not " + msg);
+        throw in.error("expected field msg to be Mark, not " + msg);
       }
       now = in.number(Field.SIM_TIME);
       long frame = in.integer(Field.FRAME);
       boolean failed = false;
       while (true) {
         if (!in.next()) {
-          throw in.fail("the input ends inside the batch that is open here");
+          throw in.error("unexpected end of input inside the batch");
         }
         msg = in.text(Field.MSG);
         if (msg.equals("Eob")) {
@@ -49,14 +49,14 @@
         }
         failed |= !handle(msg, failed);
       }
-      out.finish(frame);
+      out.finishReply(frame);
     }
   }
 
   /** Dispatches one event. Returns false if the balancer failed, which ends the simulation. */
   private boolean handle(String msg, boolean failed) {
-    int who = in.small(Field.WHO);
-    Runnable event = parse(msg, who);
+    int instance = in.nonNegativeInt(Field.WHO);
+    Runnable event = parse(msg, instance);
     if (failed) {
       return true;
     }
@@ -65,63 +65,64 @@
       return true;
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      out.giveIn(who, e + (trace.length > 0 ? " at " + trace[0] : ""));
+      out.writeFailure(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
       return false;
     }
   }
 
-  private Runnable parse(String msg, int who) {
+  private Runnable parse(String msg, int instance) {
     return switch (msg) {
-      case "OpenInstance" -> open(who);
+      case "OpenInstance" -> openInstance(instance);
       case "Kill" -> {
-        Balancer b = balancer(who);
+        Balancer b = balancer(instance);
         yield () -> {
           b.close();
-          balancers.remove(who);
+          balancers.remove(instance);
         };
       }
-      case "Members" -> members(balancer(who));
-      case "Call" -> call(balancer(who));
-      case "Ended" -> ended(balancer(who));
+      case "Members" -> members(balancer(instance));
+      case "Call" -> request(balancer(instance));
+      case "Ended" -> attemptEnded(balancer(instance));
       case "CancelledByClient" -> {
-        Balancer b = balancer(who);
-        String call = in.text(Field.CALL);
-        yield () -> b.onClientDisconnected(now, call);
+        Balancer b = balancer(instance);
+        String requestId = in.text(Field.CALL);
+        yield () -> b.onClientDisconnected(now, requestId);
       }
-      case "Accepted" -> accepted(balancer(who));
+      case "Accepted" -> responseStarted(balancer(instance));
       case "Reminder" -> {
-        Balancer b = balancer(who);
-        long name = in.integer(Field.NAME);
-        yield () -> b.onTimer(now, name);
+        Balancer b = balancer(instance);
+        long timer = in.integer(Field.NAME);
+        yield () -> b.onTimer(now, timer);
       }
-      case "Sampled" -> sampled(balancer(who));
+      case "Sampled" -> probeEnded(balancer(instance));
       case "Memo" -> {
-        Balancer b = balancer(who);
-        int sender = in.small(Field.SENDER);
+        Balancer b = balancer(instance);
+        int sender = in.nonNegativeInt(Field.SENDER);
         String data = in.textOr(Field.DATA, "");
         yield () -> b.onPeerMessage(now, sender, data);
       }
-      default -> throw in.fail("field msg has the unknown value " + msg);
+      default -> throw in.error("field msg has the unknown value " + msg);
     };
   }
 
-  private Balancer balancer(int who) {
-    Balancer b = balancers.get(who);
+  private Balancer balancer(int instance) {
+    Balancer b = balancers.get(instance);
     if (b == null) {
-      throw in.fail("field who names instance " + who + ", which is not open");
+      throw in.error("field who refers to instance " + instance + ", which is not open");
     }
     return b;
   }
 
-  private Runnable open(int who) {
+  private Runnable openInstance(int instance) {
     long seed = in.integer(Field.RANDOM_SEED);
     ternscale.api.Settings settings;
     try {
       settings = SettingsReader.read(in.settings());
     } catch (WireException | IllegalArgumentException e) {
-      throw in.fail("settings: " + e.getMessage());
+      throw in.error("settings: " + e.getMessage());
     }
-    return () -> balancers.put(who, new LcStarBalancer(settings, seed, now, out.forInstance(who)));
+    return () ->
+        balancers.put(instance, new LcStarBalancer(settings, seed, now, out.forInstance(instance)));
   }
 
   private Runnable members(Balancer b) {
@@ -132,19 +133,19 @@
           case "full" -> MembersUpdate.Kind.FULL;
           case "cached" -> MembersUpdate.Kind.CACHED;
           case "failed" -> MembersUpdate.Kind.FAILED;
-          default -> throw in.fail("field scope has the unknown value " + scope);
+          default -> throw in.error("field scope has the unknown value " + scope);
         };
     MembersUpdate update =
         new MembersUpdate(kind, (long) in.numberOr(Field.INDEX, 0), in.entries());
     return () -> b.onMembers(now, update);
   }
 
-  private Runnable call(Balancer b) {
+  private Runnable request(Balancer b) {
     RequestInfo request =
         new RequestInfo(
             in.text(Field.CALL),
-            in.smallOr(Field.LANE, 0),
-            in.smallOr(Field.PROJECT, 0),
+            in.nonNegativeIntOr(Field.LANE, 0),
+            in.nonNegativeIntOr(Field.PROJECT, 0),
             in.number(Field.CLIENT_DEADLINE),
             in.numberOr(Field.ESTIMATE, 0),
             in.textOr(Field.ENTITY, null),
@@ -153,12 +154,12 @@
     return () -> b.onRequest(now, request);
   }
 
-  private Runnable ended(Balancer b) {
+  private Runnable attemptEnded(Balancer b) {
     Outcome outcome =
         new Outcome(
             in.text(Field.CALL),
             in.text(Field.HOST),
-            in.smallOr(Field.SHOT, 0),
+            in.nonNegativeIntOr(Field.SHOT, 0),
             result(),
             in.numberOr(Field.TIME_TAKEN, 0),
             in.flag(Field.CLOSED),
@@ -166,14 +167,14 @@
     return () -> b.onOutcome(now, outcome);
   }
 
-  private Runnable accepted(Balancer b) {
-    String call = in.text(Field.CALL);
-    int shot = in.smallOr(Field.SHOT, 0);
+  private Runnable responseStarted(Balancer b) {
+    String requestId = in.text(Field.CALL);
+    int attempt = in.nonNegativeIntOr(Field.SHOT, 0);
     String host = in.text(Field.HOST);
-    return () -> b.onResponseStarted(now, call, shot, host);
+    return () -> b.onResponseStarted(now, requestId, attempt, host);
   }
 
-  private Runnable sampled(Balancer b) {
+  private Runnable probeEnded(Balancer b) {
     ProbeResult result =
         new ProbeResult(
             in.text(Field.HOST), result(), in.numberOr(Field.TIME_TAKEN, 0), in.report());
@@ -191,7 +192,7 @@
       case "RST" -> Result.RESET;
       case "CXL" -> Result.CANCELLED;
       case "NOP" -> Result.NOT_SENT;
-      default -> throw in.fail("field code has the unknown value " + code);
+      default -> throw in.error("field code has the unknown value " + code);
     };
   }
 }
