--- a/src/main/java/hazelspoke/core/Dispatcher.java
+++ b/src/main/java/hazelspoke/core/Dispatcher.java
@@ -208,9 +208,10 @@
       return;
     }
     for (Exchange exchange : List.copyOf(exchanges.values())) {
-      for (Attempt a : List.copyOf(exchange.attempts)) {
-        if (!up.contains(a.host()) && (!isDelta || listed.contains(a.host()))) {
-          a.cancelIfFirstByteUnsent();
+      for (Attempt waitingAttempt : List.copyOf(exchange.attempts)) {
+        if (!up.contains(waitingAttempt.host())
+            && (!isDelta || listed.contains(waitingAttempt.host()))) {
+          waitingAttempt.cancelIfFirstByteUnsent();
         }
       }
     }
--- a/src/main/java/hazelspoke/core/LoadProbe.java
+++ b/src/main/java/hazelspoke/core/LoadProbe.java
@@ -19,7 +19,7 @@
   private final CoreServices services;
   private final Listener listener;
   private final String host;
-  private final double startedAt;
+  private final double startedAtMs;
   private HostTransport.CallHandle callHandle;
   private boolean ended;
 
@@ -27,7 +27,7 @@
     this.services = services;
     this.listener = listener;
     this.host = host;
-    startedAt = services.clock().nowMs();
+    startedAtMs = services.clock().nowMs();
   }
 
   void start() {
@@ -41,7 +41,7 @@
 
   /** The time since the start, in milliseconds. */
   double elapsedMs() {
-    return services.clock().nowMs() - startedAt;
+    return services.clock().nowMs() - startedAtMs;
   }
 
   @Override
@@ -74,9 +74,9 @@
   public void onSent() {}
 
   @Override
-  public void onAnswer(Metadata metadata, String loadReport, Body answer, ByteBudget.Share share) {
+  public void onAnswer(Metadata metadata, String loadReport, Body body, ByteBudget.Share share) {
     share.release();
-    answer.abandon();
+    body.abandon();
     end(Result.OK, loadReport);
   }
 
--- a/src/main/java/hazelspoke/core/SendGuard.java
+++ b/src/main/java/hazelspoke/core/SendGuard.java
@@ -44,11 +44,11 @@
     if (!isClientWaiting(exchange)) {
       return Verdict.REQUEST_ENDED;
     }
-    double now = clock.nowMs();
-    if (now >= sendByMs) {
+    double nowMs = clock.nowMs();
+    if (nowMs >= sendByMs) {
       return Verdict.WINDOW_OVER;
     }
-    return now < exchange.deadlineMs ? Verdict.ALLOWED : Verdict.OUT_OF_TIME;
+    return nowMs < exchange.deadlineMs ? Verdict.ALLOWED : Verdict.OUT_OF_TIME;
   }
 
   /** Whether the last byte of an attempt may be written now, after all others were written. */
--- a/src/main/java/hazelspoke/http/Headers.java
+++ b/src/main/java/hazelspoke/http/Headers.java
@@ -94,8 +94,8 @@
    * gateway.
    */
   public static String formatSeconds(double ms) {
-    long whole = (long) ms;
-    String thousandths = Long.toString(1_000 + whole % 1_000).substring(1);
-    return whole / 1_000 + "." + thousandths;
+    long wholeMs = (long) ms;
+    String thousandths = Long.toString(1_000 + wholeMs % 1_000).substring(1);
+    return wholeMs / 1_000 + "." + thousandths;
   }
 }
--- a/src/test/java/hazelspoke/core/BodyStreamTest.java
+++ b/src/test/java/hazelspoke/core/BodyStreamTest.java
@@ -26,8 +26,8 @@
         new BodyStream(
             new BodyStream.Source() {
               @Override
-              public void setReading(boolean on) {
-                reading[0] = on;
+              public void setReading(boolean enabled) {
+                reading[0] = enabled;
               }
 
               @Override
--- a/src/test/java/hazelspoke/core/ClassRegistryTest.java
+++ b/src/test/java/hazelspoke/core/ClassRegistryTest.java
@@ -52,13 +52,13 @@
         // After the grace period, requests in the other form get the current class too, and are
         // refused.
         Effect other = effect == Effect.ONCE ? Effect.BY_KEY : Effect.ONCE;
-        double later = nowMs + ClassRegistry.REMOVAL_GRACE_MS + 1;
-        assertThat(next.find(names.get(i), other, later)).isEqualTo(index);
+        double afterGraceMs = nowMs + ClassRegistry.REMOVAL_GRACE_MS + 1;
+        assertThat(next.find(names.get(i), other, afterGraceMs)).isEqualTo(index);
       }
       for (int i = 0; i < 5; i++) {
         if (!names.contains("n" + i)) {
-          double later = nowMs + ClassRegistry.REMOVAL_GRACE_MS + 1;
-          assertThat(next.find("n" + i, Effect.ONCE, later)).isEqualTo(-1);
+          double afterGraceMs = nowMs + ClassRegistry.REMOVAL_GRACE_MS + 1;
+          assertThat(next.find("n" + i, Effect.ONCE, afterGraceMs)).isEqualTo(-1);
         }
       }
       registry = next;
@@ -71,13 +71,13 @@
     ClassRegistry registry =
         ClassRegistry.of(List.of("a", "b"), List.of(type(Effect.ONCE, 9), type(Effect.ONCE, 5)));
     ClassRegistry next = registry.reloaded(List.of("b"), List.of(type(Effect.BY_KEY, 3)), 100);
-    double end = 100 + ClassRegistry.REMOVAL_GRACE_MS;
-    assertThat(next.find("a", Effect.ONCE, end)).isZero();
-    assertThat(next.find("a", Effect.ONCE, end + 1)).isEqualTo(-1);
-    assertThat(next.find("b", Effect.ONCE, end)).isEqualTo(1);
-    assertThat(next.find("b", Effect.BY_KEY, end)).isEqualTo(2);
-    assertThat(next.longestDeadlineMs(end)).isEqualTo(9);
-    assertThat(next.longestDeadlineMs(end + 1)).isEqualTo(3);
+    double graceEndMs = 100 + ClassRegistry.REMOVAL_GRACE_MS;
+    assertThat(next.find("a", Effect.ONCE, graceEndMs)).isZero();
+    assertThat(next.find("a", Effect.ONCE, graceEndMs + 1)).isEqualTo(-1);
+    assertThat(next.find("b", Effect.ONCE, graceEndMs)).isEqualTo(1);
+    assertThat(next.find("b", Effect.BY_KEY, graceEndMs)).isEqualTo(2);
+    assertThat(next.longestDeadlineMs(graceEndMs)).isEqualTo(9);
+    assertThat(next.longestDeadlineMs(graceEndMs + 1)).isEqualTo(3);
   }
 
   @Test
--- a/src/test/java/hazelspoke/core/DispatcherFixture.java
+++ b/src/test/java/hazelspoke/core/DispatcherFixture.java
@@ -107,7 +107,7 @@
   final Clock clock = new Clock(ticker);
   private int requestCount;
 
-  DispatcherFixture(int openCap, Function<Actions, Balancer> module) {
+  DispatcherFixture(int openCap, Function<Actions, Balancer> balancerFactory) {
     dispatcher =
         new Dispatcher(
             channel.eventLoop(),
@@ -118,7 +118,7 @@
             new Log(new PrintStream(log, true), clock),
             this,
             Meter.NONE);
-    dispatcher.start(module.apply(dispatcher), this);
+    dispatcher.start(balancerFactory.apply(dispatcher), this);
   }
 
   static Settings settings() {
--- a/src/test/java/hazelspoke/core/DispatcherTest.java
+++ b/src/test/java/hazelspoke/core/DispatcherTest.java
@@ -248,9 +248,9 @@
    */
   @Test
   void releasesRequestOfDisconnectedClientWhileAttemptIsInFlight() throws Exception {
-    SingleAttemptBalancer[] module = new SingleAttemptBalancer[1];
+    SingleAttemptBalancer[] balancer = new SingleAttemptBalancer[1];
     DispatcherFixture fixture =
-        new DispatcherFixture(100, actions -> module[0] = new SingleAttemptBalancer(actions));
+        new DispatcherFixture(100, actions -> balancer[0] = new SingleAttemptBalancer(actions));
     DispatcherFixture.RecordingClient client = fixture.sendRequest();
     fixture.calls.get(0).write();
     fixture.written.clear();
@@ -262,8 +262,8 @@
     awaitCleared(references);
     assertThat(fixture.requestBudget.usedBytes()).isZero();
     fixture.calls.get(0).end(Result.OK);
-    assertThat(module[0].outcomes).hasSize(1);
-    assertThat(module[0].outcomes.get(0).requestEnded()).isTrue();
+    assertThat(balancer[0].outcomes).hasSize(1);
+    assertThat(balancer[0].outcomes.get(0).requestEnded()).isTrue();
     assertThat(fixture.responseBudget.usedBytes()).isZero();
     assertThat(fixture.dispatcher.retainedCount()).isZero();
   }
@@ -347,23 +347,23 @@
   @Test
   void answersOverdueRequestBeforeNewOnesAfterStall() {
     DispatcherFixture fixture = new DispatcherFixture(100, SingleAttemptBalancer::new);
-    DispatcherFixture.RecordingClient overdue = fixture.sendRequest();
+    DispatcherFixture.RecordingClient overdueClient = fixture.sendRequest();
     fixture.ticker.advanceMillis((long) DispatcherFixture.DEADLINE_MS + 200);
     fixture.sendRequest();
-    assertThat(overdue.answers).hasSize(1);
+    assertThat(overdueClient.answers).hasSize(1);
   }
 
   /** A response that has not been read yet may still be in time. */
   @Test
   void keepsRequestOpenUntilItsDeadlineWhenAnotherArrives() {
     DispatcherFixture fixture = new DispatcherFixture(100, SingleAttemptBalancer::new);
-    DispatcherFixture.RecordingClient early = fixture.sendRequest();
+    DispatcherFixture.RecordingClient earlyClient = fixture.sendRequest();
     fixture.ticker.advanceMillis((long) DispatcherFixture.DEADLINE_MS - 10);
     fixture.sendRequest();
-    assertThat(early.answers).isEmpty();
+    assertThat(earlyClient.answers).isEmpty();
     fixture.calls.get(0).end(Result.OK);
-    assertThat(early.answers).hasSize(1);
-    assertThat(early.answers.get(0).outcome()).isEqualTo(Answer.Outcome.SERVED);
+    assertThat(earlyClient.answers).hasSize(1);
+    assertThat(earlyClient.answers.get(0).outcome()).isEqualTo(Answer.Outcome.SERVED);
   }
 
   @Test
@@ -380,33 +380,33 @@
   @Test
   void logsReasonOfLateAnswer() {
     DispatcherFixture fixture = new DispatcherFixture(100, SingleAttemptBalancer::new);
-    DispatcherFixture.RecordingClient inTime = fixture.sendRequest();
+    DispatcherFixture.RecordingClient inTimeClient = fixture.sendRequest();
     fixture.calls.get(0).end(Result.OK);
-    fixture.dispatcher.onAnswerWritten(inTime.exchange);
+    fixture.dispatcher.onAnswerWritten(inTimeClient.exchange);
     assertThat(fixture.log.toString()).isEmpty();
 
-    DispatcherFixture.RecordingClient unread = fixture.sendRequest();
+    DispatcherFixture.RecordingClient slowClient = fixture.sendRequest();
     fixture.calls.get(0).end(Result.OK);
     fixture.advance((long) DispatcherFixture.DEADLINE_MS + 700);
-    fixture.dispatcher.onAnswerWritten(unread.exchange);
+    fixture.dispatcher.onAnswerWritten(slowClient.exchange);
     assertThat(fixture.log.toString())
         .contains("left 700 ms after", LateAnswer.UNREAD.description());
 
     fixture.log.reset();
-    DispatcherFixture.RecordingClient stalled = fixture.sendRequest();
+    DispatcherFixture.RecordingClient stalledClient = fixture.sendRequest();
     fixture.ticker.advanceMillis((long) DispatcherFixture.DEADLINE_MS + 500);
     fixture.runLoop();
-    assertThat(stalled.answers).hasSize(1);
-    fixture.dispatcher.onAnswerWritten(stalled.exchange);
+    assertThat(stalledClient.answers).hasSize(1);
+    fixture.dispatcher.onAnswerWritten(stalledClient.exchange);
     assertThat(fixture.log.toString())
         .contains("left 500 ms after", LateAnswer.STOOD_STILL.description());
 
     fixture.log.reset();
-    DispatcherFixture.RecordingClient shared = fixture.sendRequest();
+    DispatcherFixture.RecordingClient secondSlowClient = fixture.sendRequest();
     fixture.ticker.advanceMillis(60);
     fixture.runLoop();
     fixture.advance((long) DispatcherFixture.DEADLINE_MS + 600);
-    fixture.dispatcher.onAnswerWritten(shared.exchange);
+    fixture.dispatcher.onAnswerWritten(secondSlowClient.exchange);
     assertThat(fixture.log.toString())
         .as("a lag of 60 ms does not explain a delay of 660 ms")
         .contains("did not take it");
@@ -422,26 +422,26 @@
                   @Override
                   public void onRequest(double now, RequestInfo request) {}
                 });
-    DispatcherFixture.RecordingClient forgotten = fixture.sendRequest();
+    DispatcherFixture.RecordingClient client = fixture.sendRequest();
     fixture.advance((long) (DispatcherFixture.DEADLINE_MS + Dispatcher.OVERDUE_GRACE_MS) + 1);
-    assertThat(forgotten.answers).hasSize(1);
-    fixture.dispatcher.onAnswerWritten(forgotten.exchange);
+    assertThat(client.answers).hasSize(1);
+    fixture.dispatcher.onAnswerWritten(client.exchange);
     assertThat(fixture.log.toString())
         .contains("was left without an answer")
         .doesNotContain("left 1");
     fixture.advance(200);
-    fixture.dispatcher.onAnswerWritten(forgotten.exchange);
+    fixture.dispatcher.onAnswerWritten(client.exchange);
     assertThat(fixture.log.toString()).contains(LateAnswer.LEFT_OPEN.description());
   }
 
   private static void awaitCleared(List<WeakReference<?>> references) throws InterruptedException {
-    long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+    long endNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
     while (references.stream().anyMatch(reference -> reference.get() != null)) {
       assertThat(System.nanoTime())
           .as(
               "%s is still reachable",
               references.stream().map(WeakReference::get).filter(o -> o != null).findFirst())
-          .isLessThan(end);
+          .isLessThan(endNanos);
       System.gc();
       Thread.sleep(20);
     }
--- a/src/test/java/hazelspoke/core/ShutdownDeadlineTest.java
+++ b/src/test/java/hazelspoke/core/ShutdownDeadlineTest.java
@@ -40,9 +40,9 @@
   void doesNotForwardRequestsAfterTheShutdownDeadline() {
     beginShutdown();
     fixture.advance(SHUTDOWN_MS);
-    DispatcherFixture.RecordingClient late = fixture.sendRequest();
+    DispatcherFixture.RecordingClient lateClient = fixture.sendRequest();
     fixture.advance(2 * (long) Dispatcher.OVERDUE_GRACE_MS);
     assertThat(fixture.written).isEmpty();
-    assertThat(late.answers).hasSize(1);
+    assertThat(lateClient.answers).hasSize(1);
   }
 }
--- a/src/test/java/hazelspoke/net/SocketPollingTest.java
+++ b/src/test/java/hazelspoke/net/SocketPollingTest.java
@@ -108,9 +108,9 @@
 
   private void stallEveryIteration(AtomicInteger stalls) {
     if (!loop.isShuttingDown() && stalls.incrementAndGet() < 1_000) {
-      long end =
+      long endNanos =
           System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * SocketPolling.MAX_POLL_AGE_MS);
-      while (System.nanoTime() < end) {
+      while (System.nanoTime() < endNanos) {
         Thread.onSpinWait();
       }
       loop.schedule(() -> stallEveryIteration(stalls), 0, TimeUnit.NANOSECONDS);
@@ -118,9 +118,9 @@
   }
 
   private void awaitRead(int bytes) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+    long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (bytesRead.get() < bytes) {
-      assertThat(System.nanoTime()).isLessThan(end);
+      assertThat(System.nanoTime()).isLessThan(endNanos);
       Thread.sleep(1);
     }
   }
