--- a/src/main/java/hazelspoke/core/Answer.java
+++ b/src/main/java/hazelspoke/core/Answer.java
@@ -23,7 +23,7 @@
   public enum Outcome {
     /** A host has executed the request; the answer is the host's response. */
     SERVED,
-    /** The request was not executed, so a retry is harmless. */
+    /** A retry is harmless. */
     REFUSED,
     /** The request may have been executed. */
     FAILED
@@ -37,7 +37,7 @@
     return new Answer(Outcome.REFUSED, Metadata.NONE, new Body(), null, retryAfterMs, false);
   }
 
-  static Answer failed(boolean late) {
-    return new Answer(Outcome.FAILED, Metadata.NONE, new Body(), null, 0, late);
+  static Answer failed(boolean deadlineExceeded) {
+    return new Answer(Outcome.FAILED, Metadata.NONE, new Body(), null, 0, deadlineExceeded);
   }
 }
