--- a/src/main/java/hazelspoke/CompareCommand.java
+++ b/src/main/java/hazelspoke/CompareCommand.java
@@ -79,10 +79,10 @@
           "off", world.script().withRecord(0, 0), "on", world.script().withRecord(voters, 0));
     }
     TreeSet<String> struck = new TreeSet<>();
-    for (int i = 0; i < world.struck().size(); i++) {
+    for (int i = 0; i < world.affected().size(); i++) {
       Fault.Kind kind = world.script().faults().get(i).kind();
       if (kind == Fault.Kind.CRASH || kind == Fault.Kind.FREEZE) {
-        struck.addAll(world.struck().get(i));
+        struck.addAll(world.affected().get(i));
       } else if (kind.subject() == Fault.Subject.HOSTS) {
         System.err.println(
             "pumicetray: "
--- a/src/main/java/hazelspoke/emulator/model/ColdGuard.java
+++ b/src/main/java/hazelspoke/emulator/model/ColdOverloadDetector.java
@@ -8,7 +8,7 @@
  * is more than the multiple of what it can do in such a span at its present capacity. Work counts
  * whether it was taken in or turned away.
  */
-public final class ColdGuard {
+public final class ColdOverloadDetector {
   /** Chance is let pass: two bursts in a row are no push. */
   private static final double SLACK = 1.15;
 
@@ -18,7 +18,7 @@
   private double sum;
   private double told;
 
-  public ColdGuard(double multiple, double spanMs) {
+  public ColdOverloadDetector(double multiple, double spanMs) {
     this.multiple = multiple;
     this.spanMs = spanMs;
   }
@@ -30,7 +30,7 @@
    * @param knew whether the gateway that sent it had been told of the start
    * @return whether the host falls over
    */
-  public boolean push(double workMs, boolean knew, double capacity, double now) {
+  public boolean recordWork(double workMs, boolean knew, double capacity, double now) {
     sent.add(new double[] {now, workMs, knew ? workMs : 0});
     sum += workMs;
     told += knew ? workMs : 0;
@@ -43,7 +43,7 @@
   }
 
   /** The share of what counts now that came from gateways that knew. */
-  public double toldShare() {
+  public double informedShare() {
     return sum > 0 ? told / sum : 0;
   }
 }
--- a/src/main/java/hazelspoke/emulator/model/RepeatMemory.java
+++ b/src/main/java/hazelspoke/emulator/model/IdempotencyWindow.java
@@ -8,18 +8,18 @@
  * The idempotency keys that the hosts of a group have run within the window: a repeat has no second
  * effect there. Bounded; the oldest go first.
  */
-public final class RepeatMemory {
+public final class IdempotencyWindow {
   private static final int MOST = 200_000;
 
   private final double windowMs;
   private final Map<String, Double> ranAt = new LinkedHashMap<>();
 
-  public RepeatMemory(double windowMs) {
+  public IdempotencyWindow(double windowMs) {
     this.windowMs = windowMs;
   }
 
   /** Notes a run; returns false where the key has run within the window: this one has no effect. */
-  public boolean first(String key, double now) {
+  public boolean recordIfFirst(String key, double now) {
     Iterator<Double> oldest = ranAt.values().iterator();
     while (oldest.hasNext()) {
       if (now - oldest.next() <= windowMs && ranAt.size() <= MOST) {
--- a/src/main/java/hazelspoke/emulator/model/LinkName.java
+++ b/src/main/java/hazelspoke/emulator/model/LinkName.java
@@ -18,7 +18,7 @@
    *
    * @throws IllegalArgumentException for what is none
    */
-  public static LinkName read(String text) {
+  public static LinkName parse(String text) {
     int arrow = text.indexOf(ARROW);
     if (arrow <= 0 || arrow == text.length() - 1) {
       throw new IllegalArgumentException("no link: " + text);
--- a/src/main/java/hazelspoke/emulator/model/LinkState.java
+++ b/src/main/java/hazelspoke/emulator/model/LinkState.java
@@ -5,12 +5,12 @@
 
 /**
  * What holds on one way between two processes while several faults lie on it at once: the worst of
- * each. Faults come and go in any order; each is a {@link Trouble}, taken back as the same object.
- * Decides only; a relay carries it out.
+ * each. Faults come and go in any order; each is a {@link Impairment}, taken back as the same
+ * object. Decides only; a relay carries it out.
  */
 public final class LinkState {
   /** What a caller finds at an address. */
-  public enum Door {
+  public enum AcceptMode {
     /** Somebody accepts. */
     OPEN,
     /** The system there refuses. */
@@ -20,13 +20,13 @@
   }
 
   /** One fault on the way; compared by identity, as two may be alike. */
-  public static final class Trouble {
+  public static final class Impairment {
     private final boolean refuses;
     private final boolean holdsThere;
     private final boolean holdsBack;
     private final double delayMs;
 
-    private Trouble(boolean refuses, boolean holdsThere, boolean holdsBack, double delayMs) {
+    private Impairment(boolean refuses, boolean holdsThere, boolean holdsBack, double delayMs) {
       this.refuses = refuses;
       this.holdsThere = holdsThere;
       this.holdsBack = holdsBack;
@@ -34,36 +34,36 @@
     }
 
     /** New connections are refused; the relay resets what is open. */
-    public static Trouble cut() {
-      return new Trouble(true, false, false, 0);
+    public static Impairment cut() {
+      return new Impairment(true, false, false, 0);
     }
 
     /** Nothing passes on the way there, on the way back, or both. */
-    public static Trouble silence(boolean there, boolean back) {
-      return new Trouble(false, there, back, 0);
+    public static Impairment silence(boolean there, boolean back) {
+      return new Impairment(false, there, back, 0);
     }
 
     /** Every byte comes so much later, in milliseconds, each way. */
-    public static Trouble delay(double ms) {
-      return new Trouble(false, false, false, ms);
+    public static Impairment delay(double ms) {
+      return new Impairment(false, false, false, ms);
     }
   }
 
-  private final List<Trouble> troubles = new ArrayList<>();
-  private Door host = Door.REFUSING;
+  private final List<Impairment> troubles = new ArrayList<>();
+  private AcceptMode host = AcceptMode.REFUSING;
 
   /** A fault begins. */
-  public void add(Trouble trouble) {
+  public void add(Impairment trouble) {
     troubles.add(trouble);
   }
 
   /** A fault is over; harmless for one that is not on. */
-  public void remove(Trouble trouble) {
+  public void remove(Impairment trouble) {
     troubles.removeIf(t -> t == trouble);
   }
 
   /** What its host does at its own address. */
-  public void host(Door door) {
+  public void setHostAcceptMode(AcceptMode door) {
     host = door;
   }
 
@@ -72,11 +72,11 @@
    * one that vanishes never meets the host; either direction lost leaves a connection that does not
    * come up.
    */
-  public Door door() {
+  public AcceptMode acceptMode() {
     if (troubles.stream().anyMatch(t -> t.refuses)) {
-      return Door.REFUSING;
+      return AcceptMode.REFUSING;
     }
-    return holds(true) || holds(false) ? Door.SILENT : host;
+    return holds(true) || holds(false) ? AcceptMode.SILENT : host;
   }
 
   /** Whether nothing passes now, there or back; what was sent waits, as TCP sends it again. */
--- a/src/main/java/hazelspoke/emulator/model/Outcome.java
+++ b/src/main/java/hazelspoke/emulator/model/Outcome.java
@@ -5,9 +5,9 @@
  *
  * @param latencyMs from the planned moment of asking, however late the asking itself was
  */
-public record Outcome(Arrival arrival, int tries, Fate fate, double latencyMs) {
+public record Outcome(Arrival arrival, int tries, Result result, double latencyMs) {
   /** How a request can end for its client. */
-  public enum Fate {
+  public enum Result {
     SERVED,
     REFUSED,
     FAILED
--- a/src/main/java/hazelspoke/emulator/model/Registry.java
+++ b/src/main/java/hazelspoke/emulator/model/Registry.java
@@ -81,7 +81,7 @@
   }
 
   /** From now on news comes later by this much. */
-  public void late(double byMs) {
+  public void setAnnouncementDelay(double byMs) {
     lateMs = byMs;
   }
 
--- a/src/main/java/hazelspoke/emulator/model/Draws.java
+++ b/src/main/java/hazelspoke/emulator/model/SeededRandom.java
@@ -7,10 +7,10 @@
  * other; single figures that belong to a request come from a hash of its number, whenever they are
  * asked for.
  */
-public final class Draws {
+public final class SeededRandom {
   private static final double UNIT = 0x1p-53;
 
-  private Draws() {}
+  private SeededRandom() {}
 
   /** A stream for one purpose. */
   public static SplittableRandom stream(long seed, String purpose) {
--- a/src/main/java/hazelspoke/emulator/model/StockServer.java
+++ b/src/main/java/hazelspoke/emulator/model/StockServer.java
@@ -72,7 +72,7 @@
   }
 
   /** Takes a request; it may end within this call, turned away. */
-  public void arrive(Job job, double at) {
+  public void submit(Job job, double at) {
     advance(at);
     if (draining || waiting.size() >= spec.queue()) {
       listener.ended(job, Job.End.TURNED_AWAY, now);
@@ -92,18 +92,18 @@
   }
 
   /** Takes work that answers nothing: a handshake's or a probe's. */
-  public void burden(double workMs) {
+  public void addOverhead(double workMs) {
     debt += workMs;
   }
 
   /** Cores slower by this factor. */
-  public void slowBy(double factor, double at) {
+  public void setSlowdown(double factor, double at) {
     advance(at);
     slowBy = factor;
   }
 
   /** Cores stand still, or go on. */
-  public void standStill(boolean on, double at) {
+  public void setPaused(boolean on, double at) {
     advance(at);
     still = on;
   }
@@ -115,7 +115,7 @@
   }
 
   /** Requests that it holds. */
-  public int held() {
+  public int heldRequests() {
     return waiting.size() + busy();
   }
 
@@ -201,7 +201,7 @@
   }
 
   private double rate(int core) {
-    double crowd = Math.max(0, (double) held() / running.length - spec.thrashAt());
+    double crowd = Math.max(0, (double) heldRequests() / running.length - spec.thrashAt());
     return spec.speeds().get(core) * warmth(stepAt()) / slowBy / (1 + spec.thrash() * crowd);
   }
 
--- a/src/main/java/hazelspoke/emulator/model/Workload.java
+++ b/src/main/java/hazelspoke/emulator/model/Workload.java
@@ -33,10 +33,10 @@
 
   List<Arrival> draw() {
     Script.Load load = script.load();
-    SplittableRandom times = Draws.stream(seed, "times");
-    SplittableRandom content = Draws.stream(seed, "content");
-    double[] segments = segments(Draws.stream(seed, "segments"));
-    double[] sites = sites(Draws.stream(seed, "sites"));
+    SplittableRandom times = SeededRandom.stream(seed, "times");
+    SplittableRandom content = SeededRandom.stream(seed, "content");
+    double[] segments = segments(SeededRandom.stream(seed, "segments"));
+    double[] sites = sites(SeededRandom.stream(seed, "sites"));
     double[] classes = cumulated(script.classes().stream().mapToDouble(c -> c.share()).toArray());
     double[] keys = new double[load.keys()];
     for (int i = 0; i < keys.length; i++) {
@@ -64,7 +64,7 @@
       }
       int c = pick(classes, content.nextDouble());
       Script.RequestClass type = script.classes().get(c);
-      double work = Draws.logNormal(content, type.workMs(), type.cv());
+      double work = SeededRandom.logNormal(content, type.workMs(), type.cv());
       double tail = content.nextDouble();
       for (Fault f : script.faults()) {
         if (f.kind() == Fault.Kind.HEAVY_TAIL
@@ -75,7 +75,7 @@
           work *= f.factor();
         }
       }
-      double hint = work * Draws.logNormal(content, 1, HINT_CV);
+      double hint = work * SeededRandom.logNormal(content, 1, HINT_CV);
       out.add(
           new Arrival(
               out.size(),
@@ -119,7 +119,7 @@
       out[i] =
           switch (script.load().shape()) {
             case STEADY -> 1;
-            case BURSTY -> 1 + Draws.between(random, -swing, swing);
+            case BURSTY -> 1 + SeededRandom.between(random, -swing, swing);
             case RAMP -> 1 - swing + 2 * swing * i / out.length;
           };
     }
@@ -129,7 +129,7 @@
   private double[] sites(SplittableRandom random) {
     double[] shares = new double[script.fleet().sites().size()];
     for (int i = 0; i < shares.length; i++) {
-      shares[i] = 1 + Draws.between(random, -SITE_SKEW, SITE_SKEW);
+      shares[i] = 1 + SeededRandom.between(random, -SITE_SKEW, SITE_SKEW);
     }
     return cumulated(shares);
   }
--- a/src/main/java/hazelspoke/emulator/model/World.java
+++ b/src/main/java/hazelspoke/emulator/model/World.java
@@ -18,7 +18,7 @@
  * same, and their digests say so.
  *
  * @param gatewaySites the site of each gateway, by its number
- * @param struck the names of what each fault strikes, in the order of the script
+ * @param affected the names of what each fault strikes, in the order of the script
  */
 public record World(
     Script script,
@@ -26,7 +26,7 @@
     List<ServerSpec> servers,
     List<Integer> gatewaySites,
     List<Arrival> arrivals,
-    List<List<String>> struck,
+    List<List<String>> affected,
     String digest) {
 
   /** Draws the world of a script. */
@@ -37,21 +37,21 @@
       gatewaySites.add(i % script.fleet().sites().size());
     }
     List<Arrival> arrivals = new Workload(script, seed).draw();
-    List<List<String>> struck = new ArrayList<>();
-    SplittableRandom random = Draws.stream(seed, "faults");
+    List<List<String>> affected = new ArrayList<>();
+    SplittableRandom random = SeededRandom.stream(seed, "faults");
     for (Fault fault : script.faults()) {
-      struck.add(struck(fault, script, servers, gatewaySites, random));
+      affected.add(affected(fault, script, servers, gatewaySites, random));
     }
-    String digest = digest(servers, arrivals, script.faults(), struck);
+    String digest = digest(servers, arrivals, script.faults(), affected);
     return new World(
-        script, seed, servers, List.copyOf(gatewaySites), arrivals, List.copyOf(struck), digest);
+        script, seed, servers, List.copyOf(gatewaySites), arrivals, List.copyOf(affected), digest);
   }
 
   private static List<ServerSpec> servers(Script script, long seed) {
     Script.Fleet fleet = script.fleet();
-    SplittableRandom random = Draws.stream(seed, "servers");
-    double warmGain = Draws.between(random, 0.25, 0.7);
-    double warmMs = Draws.between(random, 3_900, 12_000);
+    SplittableRandom random = SeededRandom.stream(seed, "servers");
+    double warmGain = SeededRandom.between(random, 0.25, 0.7);
+    double warmMs = SeededRandom.between(random, 3_900, 12_000);
     double all = fleet.large() + fleet.medium() + fleet.small();
     List<String> kinds = new ArrayList<>();
     for (int i = 0; i < fleet.servers(); i++) {
@@ -82,7 +82,7 @@
     return List.copyOf(out);
   }
 
-  private static List<String> struck(
+  private static List<String> affected(
       Fault fault,
       Script script,
       List<ServerSpec> servers,
@@ -146,10 +146,10 @@
       List<ServerSpec> servers,
       List<Arrival> arrivals,
       List<Fault> faults,
-      List<List<String>> struck) {
+      List<List<String>> affected) {
     try {
       MessageDigest sha = MessageDigest.getInstance("SHA-256");
-      for (List<?> part : List.of(servers, arrivals, faults, struck)) {
+      for (List<?> part : List.of(servers, arrivals, faults, affected)) {
         for (Object item : part) {
           sha.update(item.toString().getBytes(StandardCharsets.UTF_8));
         }
--- a/src/main/java/hazelspoke/emulator/net/Clients.java
+++ b/src/main/java/hazelspoke/emulator/net/Clients.java
@@ -5,9 +5,9 @@
 import hazelspoke.emulator.judge.Ledger.Try;
 import hazelspoke.emulator.judge.Ledger.TryEnd;
 import hazelspoke.emulator.model.Arrival;
-import hazelspoke.emulator.model.Draws;
 import hazelspoke.emulator.model.Outcome;
-import hazelspoke.emulator.model.Outcome.Fate;
+import hazelspoke.emulator.model.Outcome.Result;
+import hazelspoke.emulator.model.SeededRandom;
 import hazelspoke.emulator.script.Script;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -57,11 +57,11 @@
 
   private static final long SLOW_FOR = 103;
 
-  private final Stage stage;
+  private final EmulatorLoop stage;
   private final Script script;
   private final long seed;
   private final Ledger ledger;
-  private final List<Seat> seats;
+  private final List<GatewayEndpoint> seats;
   private final int mostPerGateway;
   private final Consumer<Outcome> done;
   private final Bootstrap bootstrap;
@@ -75,11 +75,11 @@
    * @param done told of each request, once
    */
   public Clients(
-      Stage stage,
+      EmulatorLoop stage,
       Script script,
       long seed,
       Ledger ledger,
-      List<Seat> seats,
+      List<GatewayEndpoint> seats,
       int mostPerGateway,
       Consumer<Outcome> done) {
     this.stage = stage;
@@ -98,7 +98,7 @@
   }
 
   /** Asks a request that was planned for now. */
-  public void ask(Arrival arrival) {
+  public void start(Arrival arrival) {
     new Asking(arrival).attempt();
   }
 
@@ -120,10 +120,10 @@
   }
 
   /** The front's choice: in turn among those that it takes for alive. */
-  private Seat deal() {
+  private GatewayEndpoint deal() {
     for (int i = 0; i < seats.size(); i++) {
-      Seat seat = seats.get(nextSeat++ % seats.size());
-      if (seat.dealt && seat.connections < mostPerGateway) {
+      GatewayEndpoint seat = seats.get(nextSeat++ % seats.size());
+      if (seat.inRotation && seat.connections < mostPerGateway) {
         return seat;
       }
     }
@@ -131,7 +131,7 @@
   }
 
   private boolean anyDealt() {
-    return seats.stream().anyMatch(s -> s.dealt);
+    return seats.stream().anyMatch(s -> s.inRotation);
   }
 
   private void rest(Connection c) {
@@ -179,7 +179,7 @@
         return;
       }
       if (now >= giveUpAt) {
-        finish(Fate.FAILED);
+        finish(Result.FAILED);
       } else if (at != null) {
         send(at);
       } else {
@@ -188,7 +188,7 @@
     }
 
     private void connect() {
-      Seat seat = deal();
+      GatewayEndpoint seat = deal();
       if (seat == null) {
         if (anyDealt()) {
           // All places are taken: wait for one, as long as the client has patience.
@@ -231,7 +231,7 @@
 
     private void outOfPatience() {
       if (waiting.remove(this)) {
-        finish(Fate.FAILED);
+        finish(Result.FAILED);
       }
     }
 
@@ -248,7 +248,9 @@
 
     private String txn() {
       return String.format(
-          Locale.ROOT, "%016x", Draws.mix(seed ^ Draws.mix(64L * arrival.number() + tries)));
+          Locale.ROOT,
+          "%016x",
+          SeededRandom.mix(seed ^ SeededRandom.mix(64L * arrival.number() + tries)));
     }
 
     private void send(Connection c) {
@@ -260,7 +262,7 @@
       double left = Math.min(giveUpAt - now, script.load().tryShare() * type.deadlineMs());
       if (left <= 0) {
         rest(c);
-        finish(Fate.FAILED);
+        finish(Result.FAILED);
         return;
       }
       tries++;
@@ -297,8 +299,8 @@
       long number = 64L * arrival.number() + tries;
       boolean slow =
           type.effect() != Script.Effect.REPEATABLE
-              && Draws.unit(seed, number, SLOW) < script.load().slowShare();
-      return slow ? script.load().slowMs() * Draws.unit(seed, number, SLOW_FOR) : 0;
+              && SeededRandom.unit(seed, number, SLOW) < script.load().slowShare();
+      return slow ? script.load().slowMs() * SeededRandom.unit(seed, number, SLOW_FOR) : 0;
     }
 
     private void complete(Connection c, Try t, ByteBuf body) {
@@ -338,7 +340,7 @@
       if (type.effect() == Script.Effect.BY_KEY) {
         h.set(
             Wire.IDEMPOTENCY_KEY,
-            String.format(Locale.ROOT, "%016x", Draws.mix(~seed ^ arrival.number())));
+            String.format(Locale.ROOT, "%016x", SeededRandom.mix(~seed ^ arrival.number())));
       }
       if (safe) {
         body.clear();
@@ -359,7 +361,7 @@
 
     private void answered(Try t, double retryAfterMs) {
       if (t.served()) {
-        finish(Fate.SERVED);
+        finish(Result.SERVED);
       } else if (t.refused()) {
         retry(true, retryAfterMs);
       } else {
@@ -371,7 +373,7 @@
       if (type.effect() == Script.Effect.REPEATABLE) {
         retry(false, 0);
       } else {
-        finish(Fate.FAILED);
+        finish(Result.FAILED);
       }
     }
 
@@ -387,17 +389,17 @@
     private void retry(boolean refused, double retryAfterMs) {
       double now = stage.now();
       double delay = script.load().backoffMs();
-      if (refused && Draws.unit(seed, arrival.number(), HONOUR) < script.load().honour()) {
+      if (refused && SeededRandom.unit(seed, arrival.number(), HONOUR) < script.load().honour()) {
         delay = Math.max(delay, Math.min(retryAfterMs, MOST_RETRY_AFTER_MS));
       }
       if (retriesLeft-- > 0 && now + delay < giveUpAt) {
         stage.at(now + delay, this::attempt);
       } else {
-        finish(refused ? Fate.REFUSED : Fate.FAILED);
+        finish(refused ? Result.REFUSED : Result.FAILED);
       }
     }
 
-    private void finish(Fate fate) {
+    private void finish(Result fate) {
       if (!over) {
         over = true;
         done.accept(new Outcome(arrival, tries, fate, stage.now() - arrival.atMs()));
@@ -407,7 +409,7 @@
 
   /** One connection to a gateway. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private final Seat seat;
+    private final GatewayEndpoint seat;
     private Channel channel;
     private int requests;
     private Asking asking;
@@ -429,7 +431,7 @@
           }
         };
 
-    Connection(Seat seat) {
+    Connection(GatewayEndpoint seat) {
       this.seat = seat;
     }
 
@@ -464,7 +466,7 @@
       t.endedAt = stage.now();
       t.status = response.status().code();
       if (t.status == 200) {
-        t.maker = Wire.maker(t.txn, response.content().toString(StandardCharsets.UTF_8));
+        t.maker = Wire.respondingHost(t.txn, response.content().toString(StandardCharsets.UTF_8));
       }
       double retryAfter = seconds(response.headers().get(HttpHeaderNames.RETRY_AFTER));
       if (HttpUtil.isKeepAlive(response)) {
--- a/src/main/java/hazelspoke/emulator/net/Discovery.java
+++ b/src/main/java/hazelspoke/emulator/net/Discovery.java
@@ -48,7 +48,7 @@
   /** Connections at an address that has been left are closed after this long. */
   private static final double LEFT_OPEN_MS = 1_500;
 
-  private final Stage stage;
+  private final EmulatorLoop stage;
   private final Ledger ledger;
   private final Registry registry;
   private final Links links;
@@ -63,7 +63,7 @@
    * @param mustAskMs a gateway that has neither watched nor asked for this long counts as told
    */
   public Discovery(
-      Stage stage,
+      EmulatorLoop stage,
       Ledger ledger,
       Registry registry,
       Links links,
@@ -92,14 +92,14 @@
   }
 
   /** Everything a gateway knows from its configuration. */
-  public void known(int gateway) {
+  public void recordConfiguredHosts(int gateway) {
     for (Entry e : registry.all()) {
       tell(desks.get(gateway), e);
     }
   }
 
   /** Watches end and calls fail, or all is well again. */
-  public void down(boolean on) {
+  public void setUnavailable(boolean on) {
     down = on;
     if (on) {
       for (Desk desk : desks) {
@@ -118,9 +118,9 @@
   }
 
   /** What a gateway's process knew has gone with it. */
-  public void restarted(int gateway) {
+  public void gatewayRestarted(int gateway) {
     desks.get(gateway).told.clear();
-    known(gateway);
+    recordConfiguredHosts(gateway);
   }
 
   private void tick() {
--- a/src/main/java/hazelspoke/emulator/net/Stage.java
+++ b/src/main/java/hazelspoke/emulator/net/EmulatorLoop.java
@@ -11,7 +11,7 @@
  * needs no locks, and one clock makes all times comparable, also with those of other processes on
  * this machine: {@link System#nanoTime} is the system's monotonic clock.
  */
-public final class Stage {
+public final class EmulatorLoop {
   private static final double NANOS_PER_MS = 1e6;
   private static final double BEAT_MS = 5;
 
@@ -30,12 +30,12 @@
   private double stallUntil = Double.NEGATIVE_INFINITY;
 
   /** A clock that begins now. */
-  public Stage(EventLoop loop) {
+  public EmulatorLoop(EventLoop loop) {
     this(loop, System.nanoTime());
   }
 
   /** A clock with its 0 at a moment of {@link System#nanoTime}. */
-  public Stage(EventLoop loop, long zero) {
+  public EmulatorLoop(EventLoop loop, long zero) {
     this.loop = loop;
     this.zero = zero;
     zeroUnixMs = System.currentTimeMillis() - (long) ((System.nanoTime() - zero) / NANOS_PER_MS);
@@ -46,7 +46,7 @@
     return loop;
   }
 
-  public long zeroNanos() {
+  public long originNanos() {
     return zero;
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Begins to watch its own lateness, and tells it in milliseconds with every beat. */
-  public void beat(DoubleConsumer lateness) {
+  public void monitorLag(DoubleConsumer lateness) {
     beatAt = now();
     at(beatAt + BEAT_MS, () -> nextBeat(lateness));
   }
@@ -78,14 +78,14 @@
       stallFrom = beatAt;
       stallUntil = now;
     }
-    beat(lateness);
+    monitorLag(lateness);
   }
 
   /**
    * The soonest that what is read now can have been sent: now, or the last moment before a stall
    * for which nobody here looked. What came on new connections is read some turns after the stall.
    */
-  public double earliest() {
+  public double earliestSendTime() {
     double now = now();
     if (now - beatAt > STALL_MS) {
       return beatAt;
--- a/src/main/java/hazelspoke/emulator/net/Seat.java
+++ b/src/main/java/hazelspoke/emulator/net/GatewayEndpoint.java
@@ -3,25 +3,25 @@
 import java.net.InetSocketAddress;
 
 /** A gateway's place as the front layer sees it. */
-public final class Seat {
+public final class GatewayEndpoint {
   final int gateway;
   final int site;
   final InetSocketAddress address;
 
   /** Whether new connections are dealt to it; the front learns late that it died. */
-  boolean dealt;
+  boolean inRotation;
 
   /** Connections that clients have to it. */
   int connections;
 
-  public Seat(int gateway, int site, InetSocketAddress address) {
+  public GatewayEndpoint(int gateway, int site, InetSocketAddress address) {
     this.gateway = gateway;
     this.site = site;
     this.address = address;
   }
 
-  public void deal(boolean on) {
-    dealt = on;
+  public void setInRotation(boolean on) {
+    inRotation = on;
   }
 
   public InetSocketAddress address() {
--- a/src/main/java/hazelspoke/emulator/net/Host.java
+++ b/src/main/java/hazelspoke/emulator/net/Host.java
@@ -1,11 +1,11 @@
 package hazelspoke.emulator.net;
 
 import hazelspoke.emulator.judge.Ledger.AttemptEnd;
-import hazelspoke.emulator.model.ColdGuard;
-import hazelspoke.emulator.model.Draws;
+import hazelspoke.emulator.model.ColdOverloadDetector;
+import hazelspoke.emulator.model.IdempotencyWindow;
 import hazelspoke.emulator.model.Job;
-import hazelspoke.emulator.model.LinkState.Door;
-import hazelspoke.emulator.model.RepeatMemory;
+import hazelspoke.emulator.model.LinkState.AcceptMode;
+import hazelspoke.emulator.model.SeededRandom;
 import hazelspoke.emulator.model.ServerSpec;
 import hazelspoke.emulator.model.StockServer;
 import io.netty.bootstrap.ServerBootstrap;
@@ -58,9 +58,9 @@
       double attemptNoise,
       long seed) {}
 
-  private final Stage stage;
+  private final EmulatorLoop stage;
   private final Rules rules;
-  private final RepeatMemory repeats;
+  private final IdempotencyWindow repeats;
   private final HostSink sink;
   private final ServerSpec spec;
   private final Set<Connection> connections = new LinkedHashSet<>();
@@ -70,9 +70,9 @@
   private final InetSocketAddress address;
   private Channel listener;
   private BlackHole blackHole;
-  private Way way = Way.NONE;
+  private NetworkPath way = NetworkPath.NONE;
   private StockServer server;
-  private ColdGuard guard;
+  private ColdOverloadDetector guard;
   private ScheduledFuture<?> wake;
   private double wakeAt;
   private int holds;
@@ -90,11 +90,11 @@
 
   /** A host that is down until it is started. */
   public Host(
-      Stage stage,
+      EmulatorLoop stage,
       ServerSpec spec,
       InetSocketAddress address,
       Rules rules,
-      RepeatMemory repeats,
+      IdempotencyWindow repeats,
       HostSink sink) {
     this.stage = stage;
     this.spec = spec;
@@ -123,8 +123,8 @@
             cold ? now : Double.NEGATIVE_INFINITY,
             now,
             (job, end, at) -> ((Call) job.tag).ended(end));
-    server.slowBy(slowBy, now);
-    guard = new ColdGuard(rules.fallMultiple(), rules.fallMs());
+    server.setSlowdown(slowBy, now);
+    guard = new ColdOverloadDetector(rules.fallMultiple(), rules.fallMs());
     listen(BIND_TRIES);
     sweep(server);
     ownPauses(server, 0);
@@ -132,7 +132,7 @@
   }
 
   /** From now on its callers come by this; before it is started. */
-  void callersComeBy(Way between) {
+  void setCallerPath(NetworkPath between) {
     way = between;
   }
 
@@ -162,7 +162,8 @@
             .addListener(
                 done -> {
                   if (done.isSuccess()) {
-                    way.door(up && listener != null ? Door.OPEN : Door.REFUSING);
+                    way.setAcceptMode(
+                        up && listener != null ? AcceptMode.OPEN : AcceptMode.REFUSING);
                   } else if (tries > 0) {
                     StockServer of = server;
                     stage.at(
@@ -200,17 +201,17 @@
   }
 
   @Override
-  public boolean hasFallen() {
+  public boolean hasFailedFromOverload() {
     return fallen;
   }
 
   @Override
-  public int held() {
-    return up ? server.held() + held.size() : 0;
+  public int heldRequests() {
+    return up ? server.heldRequests() + held.size() : 0;
   }
 
   /** Repeats of keyed requests that had no second effect. */
-  public long repeated() {
+  public long suppressedDuplicates() {
     return repeated;
   }
 
@@ -246,7 +247,7 @@
     }
     try {
       blackHole = new BlackHole(address);
-      way.door(Door.SILENT);
+      way.setAcceptMode(AcceptMode.SILENT);
     } catch (IOException e) {
       if (tries == 0) {
         stage.fail(name + " cannot vanish from " + address, e);
@@ -281,7 +282,7 @@
   }
 
   private void closeListener() {
-    way.door(Door.REFUSING);
+    way.setAcceptMode(AcceptMode.REFUSING);
     if (listener != null) {
       listener.close();
       listener = null;
@@ -304,7 +305,7 @@
   }
 
   @Override
-  public void goOn() {
+  public void resume() {
     release();
   }
 
@@ -316,7 +317,7 @@
     holds++;
     if (still) {
       stalled = true;
-      server.standStill(true, stage.now());
+      server.setPaused(true, stage.now());
     }
   }
 
@@ -328,7 +329,7 @@
     double now = stage.now();
     if (stalled) {
       stalled = false;
-      server.standStill(false, now);
+      server.setPaused(false, now);
     } else {
       // What it did behind the silence is done; its answers wait with the rest.
       holds++;
@@ -342,26 +343,26 @@
   }
 
   @Override
-  public void slow(double factor) {
+  public void setSlowdown(double factor) {
     slowBy = factor;
     if (up) {
-      server.slowBy(factor, stage.now());
+      server.setSlowdown(factor, stage.now());
       wakeUp();
     }
   }
 
   @Override
-  public void errors(DoubleUnaryOperator rate) {
+  public void setErrorRate(DoubleUnaryOperator rate) {
     errorRate = rate;
   }
 
   @Override
-  public void resets(double rate) {
+  public void setResetRate(double rate) {
     resetRate = rate;
   }
 
   @Override
-  public void refuse(boolean on) {
+  public void setRefusing(boolean on) {
     if (up && on) {
       closeListener();
     } else if (up && listener == null) {
@@ -384,7 +385,7 @@
   }
 
   private void fall(double now) {
-    sink.fell(name, now, guard.toldShare());
+    sink.fell(name, now, guard.informedShare());
     crash();
     fallen = true;
   }
@@ -394,7 +395,7 @@
     if (spec.pauseMs() < 1) {
       return;
     }
-    double gap = spec.pauseEveryMs() * (0.5 + Draws.unit(rules.seed(), name.hashCode(), n));
+    double gap = spec.pauseEveryMs() * (0.5 + SeededRandom.unit(rules.seed(), name.hashCode(), n));
     stage.at(
         stage.now() + gap,
         () -> {
@@ -438,8 +439,10 @@
     double span = Math.max(1, now - reportedAt);
     double eps = MS * Math.max(0, server.errors() - reportedErrors) / span;
     double noise =
-        1 + spec.reportNoise() * (2 * Draws.unit(rules.seed(), name.hashCode(), reported++) - 1);
-    reports.add(new double[] {now + spec.reportDelayMs(), eps, server.held() * noise});
+        1
+            + spec.reportNoise()
+                * (2 * SeededRandom.unit(rules.seed(), name.hashCode(), reported++) - 1);
+    reports.add(new double[] {now + spec.reportDelayMs(), eps, server.heldRequests() * noise});
     reportedErrors = server.errors();
     reportedAt = now;
     while (reports.size() > 1 && secondReportAt() <= now) {
@@ -504,7 +507,7 @@
     public void channelActive(ChannelHandlerContext ctx) {
       connections.add(this);
       beyondCap = connections.size() > spec.connections();
-      server.burden(spec.handshakeMs());
+      server.addOverhead(spec.handshakeMs());
     }
 
     @Override
@@ -521,7 +524,7 @@
             .writeAndFlush(Wire.answer(HttpResponseStatus.BAD_REQUEST, ""))
             .addListener(ChannelFutureListener.CLOSE);
       } else if (path.equals("/healthz") || path.equals("/load")) {
-        server.burden(spec.probeMs());
+        server.addOverhead(spec.probeMs());
         String body = path.equals("/load") ? loadReport(now) : "ok";
         orHold(() -> channel.writeAndFlush(Wire.answer(HttpResponseStatus.OK, body)));
       } else if (txn == null) {
@@ -540,9 +543,9 @@
           query < 0
               ? request.content().toString(StandardCharsets.UTF_8)
               : request.uri().substring(query + 1).replace('&', ' ');
-      double workMs = Wire.figure(body, "work_ms");
-      double number = Wire.figure(body, "order");
-      double earliest = way.earliest(channel.remoteAddress(), stage.earliest());
+      double workMs = Wire.bodyNumber(body, "work_ms");
+      double number = Wire.bodyNumber(body, "order");
+      double earliest = way.earliestSendTime(channel.remoteAddress(), stage.earliestSendTime());
       HostSink.Attempt attempt = sink.received(txn, name, spec.group(), now, earliest);
       if (Double.isNaN(workMs) || Double.isNaN(number)) {
         attempt.end(AttemptEnd.ERROR, now);
@@ -550,8 +553,8 @@
         return;
       }
       long order = (long) number;
-      double noise = Draws.noise(rules.seed(), order, name.hashCode(), rules.attemptNoise());
-      double draw = Draws.unit(rules.seed(), order, 31 + seen++);
+      double noise = SeededRandom.noise(rules.seed(), order, name.hashCode(), rules.attemptNoise());
+      double draw = SeededRandom.unit(rules.seed(), order, 31 + seen++);
       boolean fails = draw < Math.max(spec.errorRate(), errorRate.applyAsDouble(now));
       call =
           new Call(
@@ -565,8 +568,11 @@
           new Job(
               call, request.headers().get(Wire.KEY), workMs * noise, now + MS * remaining, fails);
       if (server.isCold(now)
-          && guard.push(
-              workMs, sink.knowsStart(txn, name), spec.capacity() * server.warmth(now), now)) {
+          && guard.recordWork(
+              workMs,
+              sink.isStartKnownToGateway(txn, name),
+              spec.capacity() * server.warmth(now),
+              now)) {
         fall(now);
         return;
       }
@@ -589,7 +595,7 @@
         c.ended(Job.End.TURNED_AWAY);
         return;
       }
-      server.arrive(c.job, now);
+      server.submit(c.job, now);
       if (!channel.isActive()) {
         // It had been given up behind the silence: read now, and ended right behind.
         server.cancel(c.job, now);
@@ -661,7 +667,7 @@
       // What was turned away never ran, and leaves its key free.
       if (end != Job.End.TURNED_AWAY
           && idempotencyKey != null
-          && !repeats.first(idempotencyKey, stage.now())) {
+          && !repeats.recordIfFirst(idempotencyKey, stage.now())) {
         repeated++;
       }
       orHold(() -> answer(end));
@@ -677,7 +683,7 @@
       FullHttpResponse response;
       switch (end) {
         case SERVED -> {
-          if (resetRate > 0 && Draws.unit(rules.seed(), txn.hashCode(), 7) < resetRate) {
+          if (resetRate > 0 && SeededRandom.unit(rules.seed(), txn.hashCode(), 7) < resetRate) {
             breakOff(now);
             return;
           }
--- a/src/main/java/hazelspoke/emulator/net/HostSink.java
+++ b/src/main/java/hazelspoke/emulator/net/HostSink.java
@@ -12,7 +12,7 @@
   Attempt received(String txn, String host, int group, double at, double earliest);
 
   /** Whether the gateway that asks this knows of the start of a host. */
-  boolean knowsStart(String txn, String host);
+  boolean isStartKnownToGateway(String txn, String host);
 
   void fell(String host, double at, double toldShare);
 }
--- a/src/main/java/hazelspoke/emulator/net/LedgerSink.java
+++ b/src/main/java/hazelspoke/emulator/net/LedgerSink.java
@@ -16,7 +16,7 @@
   }
 
   @Override
-  public boolean knowsStart(String txn, String host) {
+  public boolean isStartKnownToGateway(String txn, String host) {
     Ledger.Try t = ledger.find(txn);
     return t != null && ledger.told(t.gateway, host).stream().anyMatch(Ledger.Told::ready);
   }
--- a/src/main/java/hazelspoke/emulator/net/Link.java
+++ b/src/main/java/hazelspoke/emulator/net/Link.java
@@ -1,8 +1,8 @@
 package hazelspoke.emulator.net;
 
 import hazelspoke.emulator.model.LinkState;
-import hazelspoke.emulator.model.LinkState.Door;
-import hazelspoke.emulator.model.LinkState.Trouble;
+import hazelspoke.emulator.model.LinkState.AcceptMode;
+import hazelspoke.emulator.model.LinkState.Impairment;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -43,14 +43,14 @@
   /** What may wait on a way before its sender is not read from any more, as a window would. */
   private static final int WINDOW_BYTES = 65_536;
 
-  private final Stage stage;
+  private final EmulatorLoop stage;
   private final InetSocketAddress address;
   private final InetSocketAddress target;
   private final Map<SocketAddress, Passage> registry;
   private final String name;
   private final LinkState state = new LinkState();
   private final Set<Passage> passages = new LinkedHashSet<>();
-  private Door door = Door.REFUSING;
+  private AcceptMode door = AcceptMode.REFUSING;
   private Channel listener;
   private BlackHole blackHole;
   private int doors;
@@ -63,7 +63,7 @@
    *     with other ways to the same process only
    */
   Link(
-      Stage stage,
+      EmulatorLoop stage,
       InetSocketAddress address,
       InetSocketAddress target,
       Map<SocketAddress, Passage> registry,
@@ -80,19 +80,19 @@
     return address;
   }
 
-  void hostDoor(Door now) {
-    state.host(now);
+  void setHostAcceptMode(AcceptMode now) {
+    state.setHostAcceptMode(now);
     apply();
   }
 
   /** A fault begins. */
-  public void begin(Trouble trouble) {
+  public void begin(Impairment trouble) {
     state.add(trouble);
     apply();
   }
 
   /** A fault is over. */
-  public void end(Trouble trouble) {
+  public void end(Impairment trouble) {
     state.remove(trouble);
     apply();
   }
@@ -120,7 +120,7 @@
   }
 
   private void apply() {
-    Door wanted = closed ? Door.REFUSING : state.door();
+    AcceptMode wanted = closed ? AcceptMode.REFUSING : state.acceptMode();
     if (wanted != door) {
       door = wanted;
       shut();
@@ -145,11 +145,11 @@
   }
 
   /** The system may hold the address of a listener that was just closed: then it is tried again. */
-  private void open(Door wanted, int turn, int tries) {
-    if (turn != doors || wanted == Door.REFUSING) {
+  private void open(AcceptMode wanted, int turn, int tries) {
+    if (turn != doors || wanted == AcceptMode.REFUSING) {
       return;
     }
-    if (wanted == Door.SILENT) {
+    if (wanted == AcceptMode.SILENT) {
       try {
         blackHole = new BlackHole(address);
       } catch (IOException e) {
@@ -183,7 +183,7 @@
     listener = opened;
   }
 
-  private void again(Door wanted, int turn, int tries, Throwable cause) {
+  private void again(AcceptMode wanted, int turn, int tries, Throwable cause) {
     if (tries == 0) {
       stage.fail("the way to " + name + " cannot be opened at " + address, cause);
     } else {
@@ -317,7 +317,9 @@
       }
 
       private double sentAt() {
-        return caughtUp ? stage.earliest() : Math.min(unreadSince, stage.earliest());
+        return caughtUp
+            ? stage.earliestSendTime()
+            : Math.min(unreadSince, stage.earliestSendTime());
       }
 
       void readAll() {
--- a/src/main/java/hazelspoke/emulator/net/Links.java
+++ b/src/main/java/hazelspoke/emulator/net/Links.java
@@ -1,7 +1,7 @@
 package hazelspoke.emulator.net;
 
 import hazelspoke.emulator.model.LinkName;
-import hazelspoke.emulator.model.LinkState.Door;
+import hazelspoke.emulator.model.LinkState.AcceptMode;
 import hazelspoke.emulator.model.Registry.Entry;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -20,13 +20,13 @@
 public final class Links implements AutoCloseable {
   private static final int NET = 76;
 
-  private final Stage stage;
+  private final EmulatorLoop stage;
   private final int gateways;
   private final Map<LinkName, Link> byName = new HashMap<>();
   private final Map<String, List<Link>> byHost = new HashMap<>();
 
   /** One with no host joined yet, for gateways {@code g1} to {@code g<gateways>}. */
-  public Links(Stage stage, int gateways) {
+  public Links(EmulatorLoop stage, int gateways) {
     this.stage = stage;
     this.gateways = gateways;
   }
@@ -43,15 +43,15 @@
       links.add(link);
     }
     byHost.put(Ports.text(host.address()), links);
-    host.callersComeBy(
-        new Way() {
+    host.setCallerPath(
+        new NetworkPath() {
           @Override
-          public void door(Door door) {
-            links.forEach(link -> link.hostDoor(door));
+          public void setAcceptMode(AcceptMode door) {
+            links.forEach(link -> link.setHostAcceptMode(door));
           }
 
           @Override
-          public double earliest(SocketAddress caller, double now) {
+          public double earliestSendTime(SocketAddress caller, double now) {
             Link.Passage passage = passages.get(caller);
             return passage == null ? now : passage.lastSentAt();
           }
@@ -72,7 +72,7 @@
               new Link(
                   stage, Ports.free(NET, byName.size()), addresses.get(to), new HashMap<>(), far);
           byName.put(new LinkName("g" + (from + 1), far), link);
-          link.hostDoor(Door.OPEN);
+          link.setHostAcceptMode(AcceptMode.OPEN);
         }
       }
     }
--- a/src/main/java/hazelspoke/emulator/net/Way.java
+++ b/src/main/java/hazelspoke/emulator/net/NetworkPath.java
@@ -1,24 +1,24 @@
 package hazelspoke.emulator.net;
 
-import hazelspoke.emulator.model.LinkState.Door;
+import hazelspoke.emulator.model.LinkState.AcceptMode;
 import java.net.SocketAddress;
 
 /** What lies between a host and those who call it: nothing, or the relays of {@link Links}. */
-interface Way {
+interface NetworkPath {
   /** Nothing. */
-  Way NONE =
-      new Way() {
+  NetworkPath NONE =
+      new NetworkPath() {
         @Override
-        public void door(Door door) {}
+        public void setAcceptMode(AcceptMode door) {}
 
         @Override
-        public double earliest(SocketAddress caller, double now) {
+        public double earliestSendTime(SocketAddress caller, double now) {
           return now;
         }
       };
 
   /** The host's own door is like this from now on. */
-  void door(Door door);
+  void setAcceptMode(AcceptMode door);
 
   /**
    * The soonest that its caller can have sent what the host reads now.
@@ -26,5 +26,5 @@
    * @param caller the other end of the connection, as the host sees it
    * @param now what holds where nothing lies between
    */
-  double earliest(SocketAddress caller, double now);
+  double earliestSendTime(SocketAddress caller, double now);
 }
--- a/src/main/java/hazelspoke/emulator/net/StockHost.java
+++ b/src/main/java/hazelspoke/emulator/net/StockHost.java
@@ -28,10 +28,10 @@
   boolean isUp();
 
   /** Whether it was pushed over while cold: it will not start again. */
-  boolean hasFallen();
+  boolean hasFailedFromOverload();
 
   /** Requests that it holds, -1 where that is not known. */
-  int held();
+  int heldRequests();
 
   /** Ends it for good. */
   default void close() {
@@ -43,32 +43,32 @@
     throw new UnsupportedOperationException(name() + " runs apart and cannot vanish");
   }
 
-  /** Says nothing and does nothing until {@link #goOn}. */
+  /** Says nothing and does nothing until {@link #resume}. */
   default void hang() {
     throw new UnsupportedOperationException(name() + " runs apart and cannot hang");
   }
 
-  default void goOn() {
+  default void resume() {
     throw new UnsupportedOperationException(name() + " runs apart and cannot hang");
   }
 
   /** Cores slower by this factor. */
-  default void slow(double factor) {
+  default void setSlowdown(double factor) {
     throw new UnsupportedOperationException(name() + " runs apart and cannot be slowed");
   }
 
   /** Errors at this rate, by the time on the stage's clock. */
-  default void errors(DoubleUnaryOperator rate) {
+  default void setErrorRate(DoubleUnaryOperator rate) {
     throw new UnsupportedOperationException(name() + " runs apart and cannot be made to err");
   }
 
   /** Breaks off this share of its answers in the middle. */
-  default void resets(double rate) {
+  default void setResetRate(double rate) {
     throw new UnsupportedOperationException(name() + " runs apart and cannot break off");
   }
 
   /** Refuses new connections, or takes them again. */
-  default void refuse(boolean on) {
+  default void setRefusing(boolean on) {
     throw new UnsupportedOperationException(name() + " runs apart and cannot refuse");
   }
 
--- a/src/main/java/hazelspoke/emulator/net/Wire.java
+++ b/src/main/java/hazelspoke/emulator/net/Wire.java
@@ -35,7 +35,7 @@
   }
 
   /** A figure of a request's body; NaN where it has none. */
-  static double figure(String body, String name) {
+  static double bodyNumber(String body, String name) {
     for (String part : body.split("[ ;]", 3)) {
       if (part.startsWith(name + "=")) {
         try {
@@ -55,7 +55,7 @@
   }
 
   /** The host that made this answer for this request; null where none can have. */
-  public static String maker(String txn, String body) {
+  public static String respondingHost(String txn, String body) {
     String start = "served " + txn + " at ";
     int end = body.indexOf(';');
     if (!body.startsWith(start) || end < start.length()) {
--- a/src/main/java/hazelspoke/emulator/report/Lanes.java
+++ b/src/main/java/hazelspoke/emulator/report/Lanes.java
@@ -80,7 +80,7 @@
     if (fault.kind().subject() == Subject.LINKS) {
       Map<String, TreeSet<String>> from = new LinkedHashMap<>();
       for (String name : struck) {
-        LinkName link = LinkName.read(name);
+        LinkName link = LinkName.parse(name);
         from.computeIfAbsent(link.from(), p -> new TreeSet<>()).add(link.to());
         from.computeIfAbsent(link.to(), p -> new TreeSet<>()).add(link.from());
       }
--- a/src/main/java/hazelspoke/emulator/report/Tally.java
+++ b/src/main/java/hazelspoke/emulator/report/Tally.java
@@ -1,7 +1,7 @@
 package hazelspoke.emulator.report;
 
 import hazelspoke.emulator.model.Outcome;
-import hazelspoke.emulator.model.Outcome.Fate;
+import hazelspoke.emulator.model.Outcome.Result;
 import hazelspoke.emulator.script.Script;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -50,9 +50,9 @@
         from,
         in.size(),
         inTime,
-        count(in, Fate.SERVED) - inTime,
-        count(in, Fate.REFUSED),
-        count(in, Fate.FAILED),
+        count(in, Result.SERVED) - inTime,
+        count(in, Result.REFUSED),
+        count(in, Result.FAILED),
         in.stream().mapToInt(Outcome::tries).sum(),
         latencies.at(0.5),
         latencies.at(0.99));
@@ -70,10 +70,10 @@
           script.classes().get(c).name(),
           new Results.ClassResult(
               in.size(),
-              count(in, Fate.SERVED),
+              count(in, Result.SERVED),
               inTime(in),
-              count(in, Fate.REFUSED),
-              count(in, Fate.FAILED),
+              count(in, Result.REFUSED),
+              count(in, Result.FAILED),
               latencies.at(0.5),
               latencies.at(0.95),
               latencies.at(0.99)));
@@ -84,17 +84,20 @@
   private int inTime(List<Outcome> in) {
     return (int)
         in.stream()
-            .filter(o -> o.fate() == Fate.SERVED)
+            .filter(o -> o.result() == Result.SERVED)
             .filter(o -> o.latencyMs() <= script.classes().get(o.arrival().requestClass()).aimMs())
             .count();
   }
 
-  private static int count(List<Outcome> in, Fate fate) {
-    return (int) in.stream().filter(o -> o.fate() == fate).count();
+  private static int count(List<Outcome> in, Result fate) {
+    return (int) in.stream().filter(o -> o.result() == fate).count();
   }
 
   private static Quantiles latencies(List<Outcome> in) {
     return new Quantiles(
-        in.stream().filter(o -> o.fate() == Fate.SERVED).mapToDouble(Outcome::latencyMs).toArray());
+        in.stream()
+            .filter(o -> o.result() == Result.SERVED)
+            .mapToDouble(Outcome::latencyMs)
+            .toArray());
   }
 }
--- a/src/main/java/hazelspoke/emulator/run/ApartHosts.java
+++ b/src/main/java/hazelspoke/emulator/run/ApartHosts.java
@@ -4,8 +4,8 @@
 import hazelspoke.emulator.judge.Ledger.Attempt;
 import hazelspoke.emulator.judge.Ledger.AttemptEnd;
 import hazelspoke.emulator.model.ServerSpec;
+import hazelspoke.emulator.net.EmulatorLoop;
 import hazelspoke.emulator.net.Ports;
-import hazelspoke.emulator.net.Stage;
 import hazelspoke.emulator.net.StockHost;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -37,12 +37,12 @@
     this.seed = seed;
   }
 
-  StockHost host(Stage stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
+  StockHost host(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
     return new Apart(stage, spec, address, ledger);
   }
 
   private final class Apart implements StockHost {
-    private final Stage stage;
+    private final EmulatorLoop stage;
     private final ServerSpec spec;
     private final InetSocketAddress address;
     private final Ledger ledger;
@@ -50,7 +50,7 @@
     private OsProcess handle;
     private int starts;
 
-    Apart(Stage stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
+    Apart(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
       this.stage = stage;
       this.spec = spec;
       this.address = address;
@@ -86,7 +86,7 @@
               "--listen",
               Ports.text(address),
               "--zero",
-              Long.toString(stage.zeroNanos())));
+              Long.toString(stage.originNanos())));
       if (cold) {
         line.add("--cold");
       }
@@ -170,12 +170,12 @@
     }
 
     @Override
-    public boolean hasFallen() {
+    public boolean hasFailedFromOverload() {
       return false;
     }
 
     @Override
-    public int held() {
+    public int heldRequests() {
       return -1;
     }
   }
--- a/src/main/java/hazelspoke/emulator/run/Faults.java
+++ b/src/main/java/hazelspoke/emulator/run/Faults.java
@@ -3,8 +3,8 @@
 import hazelspoke.emulator.model.Registry;
 import hazelspoke.emulator.model.World;
 import hazelspoke.emulator.net.Discovery;
+import hazelspoke.emulator.net.EmulatorLoop;
 import hazelspoke.emulator.net.Links;
-import hazelspoke.emulator.net.Stage;
 import hazelspoke.emulator.net.StockHost;
 import hazelspoke.emulator.script.Fault;
 import java.util.List;
@@ -13,7 +13,7 @@
 
 /** Makes happen what the script says, at its moments, on the stage's loop. */
 final class Faults {
-  private final Stage stage;
+  private final EmulatorLoop stage;
   private final World world;
   private final Fleet fleet;
   private final Gateways gateways;
@@ -23,7 +23,7 @@
   private final Consumer<String> progress;
 
   Faults(
-      Stage stage,
+      EmulatorLoop stage,
       World world,
       Fleet fleet,
       Gateways gateways,
@@ -46,7 +46,7 @@
     List<Fault> faults = world.script().faults();
     for (int i = 0; i < faults.size(); i++) {
       Fault fault = faults.get(i);
-      List<String> struck = world.struck().get(i);
+      List<String> struck = world.affected().get(i);
       stage.at(
           base + fault.atMs(),
           () -> {
@@ -91,8 +91,8 @@
       }
       case DISCOVERY -> {
         switch (fault.kind()) {
-          case DISCOVERY_LATE -> registry.late(1_000 * fault.factor());
-          case DISCOVERY_DOWN -> discovery.down(true);
+          case DISCOVERY_LATE -> registry.setAnnouncementDelay(1_000 * fault.factor());
+          case DISCOVERY_DOWN -> discovery.setUnavailable(true);
           default -> gateways.moveDiscovery();
         }
       }
@@ -109,14 +109,14 @@
       case HANG -> host.hang();
       case FREEZE -> host.freeze();
       case PAUSES -> pause(fault, host, base + fault.endMs());
-      case SLOW -> host.slow(fault.factor());
+      case SLOW -> host.setSlowdown(fault.factor());
       case ERRORS ->
-          host.errors(
+          host.setErrorRate(
               at ->
                   fault.from()
                       + (fault.to() - fault.from()) * Math.min(1, (at - now) / fault.forMs()));
-      case RESET -> host.resets(fault.to());
-      case REFUSE -> host.refuse(true);
+      case RESET -> host.setResetRate(fault.to());
+      case REFUSE -> host.setRefusing(true);
       case RESTART -> {
         fleet.crash(host);
         fleet.startAgain(host);
@@ -132,7 +132,7 @@
       return;
     }
     host.hang();
-    stage.at(stage.now() + fault.factor(), host::goOn);
+    stage.at(stage.now() + fault.factor(), host::resume);
     stage.at(stage.now() + fault.every(), () -> pause(fault, host, until));
   }
 
@@ -175,9 +175,9 @@
       }
       case DISCOVERY -> {
         if (fault.kind() == Fault.Kind.DISCOVERY_LATE) {
-          registry.late(0);
+          registry.setAnnouncementDelay(0);
         } else {
-          discovery.down(false);
+          discovery.setUnavailable(false);
         }
       }
       default -> {
@@ -189,12 +189,12 @@
   private void end(Fault fault, StockHost host) {
     switch (fault.kind()) {
       case CRASH -> fleet.startAgain(host);
-      case HANG -> host.goOn();
+      case HANG -> host.resume();
       case FREEZE -> host.thaw();
-      case SLOW -> host.slow(1);
-      case ERRORS -> host.errors(at -> 0);
-      case RESET -> host.resets(0);
-      case REFUSE -> host.refuse(false);
+      case SLOW -> host.setSlowdown(1);
+      case ERRORS -> host.setErrorRate(at -> 0);
+      case RESET -> host.setResetRate(0);
+      case REFUSE -> host.setRefusing(false);
       case DRAIN, SHRINK -> fleet.leave(host);
       case RELEASE -> fleet.replace(host);
       default -> {
--- a/src/main/java/hazelspoke/emulator/run/Fleet.java
+++ b/src/main/java/hazelspoke/emulator/run/Fleet.java
@@ -1,17 +1,17 @@
 package hazelspoke.emulator.run;
 
 import hazelspoke.emulator.judge.Ledger;
+import hazelspoke.emulator.model.IdempotencyWindow;
 import hazelspoke.emulator.model.Registry;
 import hazelspoke.emulator.model.Registry.Entry;
 import hazelspoke.emulator.model.Registry.Status;
-import hazelspoke.emulator.model.RepeatMemory;
 import hazelspoke.emulator.model.ServerSpec;
 import hazelspoke.emulator.model.World;
+import hazelspoke.emulator.net.EmulatorLoop;
 import hazelspoke.emulator.net.Host;
 import hazelspoke.emulator.net.LedgerSink;
 import hazelspoke.emulator.net.Links;
 import hazelspoke.emulator.net.Ports;
-import hazelspoke.emulator.net.Stage;
 import hazelspoke.emulator.net.StockHost;
 import hazelspoke.emulator.script.Script;
 import java.io.IOException;
@@ -30,22 +30,28 @@
   /** How long a gateway that was told of a drain may go on sending. */
   private static final double DRAIN_GRACE_MS = 1_000;
 
-  private final Stage stage;
+  private final EmulatorLoop stage;
   private final Script script;
   private final Registry registry;
   private final Map<String, StockHost> hosts = new LinkedHashMap<>();
   private final Map<StockHost, Entry> listed = new LinkedHashMap<>();
   private int replaced;
 
-  Fleet(Stage stage, World world, Ledger ledger, Registry registry, Links links, ApartHosts apart)
+  Fleet(
+      EmulatorLoop stage,
+      World world,
+      Ledger ledger,
+      Registry registry,
+      Links links,
+      ApartHosts apart)
       throws IOException {
     this.stage = stage;
     this.script = world.script();
     this.registry = registry;
     Host.Rules rules = rules(world, ConfigFile.FALL_MULTIPLE);
-    List<RepeatMemory> repeats = new ArrayList<>();
+    List<IdempotencyWindow> repeats = new ArrayList<>();
     for (int i = 0; i < script.fleet().sites().size(); i++) {
-      repeats.add(new RepeatMemory(window(script)));
+      repeats.add(new IdempotencyWindow(window(script)));
     }
     int number = 0;
     for (ServerSpec spec : world.servers()) {
@@ -129,7 +135,7 @@
 
   /** It starts again, cold. */
   void startAgain(StockHost host) {
-    if (!host.isUp() && !host.hasFallen()) {
+    if (!host.isUp() && !host.hasFailedFromOverload()) {
       host.start(true);
       announce(
           host, entry(host, Status.READY, stage.unixMs(stage.now())), script.discovery().addMs());
--- a/src/main/java/hazelspoke/emulator/run/Gateways.java
+++ b/src/main/java/hazelspoke/emulator/run/Gateways.java
@@ -3,14 +3,14 @@
 import hazelspoke.agreement.net.OperatorClient;
 import hazelspoke.agreement.record.Command;
 import hazelspoke.emulator.judge.Ledger;
-import hazelspoke.emulator.model.Draws;
 import hazelspoke.emulator.model.Registry;
+import hazelspoke.emulator.model.SeededRandom;
 import hazelspoke.emulator.model.World;
 import hazelspoke.emulator.net.Discovery;
+import hazelspoke.emulator.net.EmulatorLoop;
+import hazelspoke.emulator.net.GatewayEndpoint;
 import hazelspoke.emulator.net.Links;
 import hazelspoke.emulator.net.Ports;
-import hazelspoke.emulator.net.Seat;
-import hazelspoke.emulator.net.Stage;
 import hazelspoke.emulator.run.GatewayHandle.Signal;
 import hazelspoke.emulator.script.Fault;
 import java.io.IOException;
@@ -61,7 +61,7 @@
   private static final int OPERATOR_PATIENCE_MS = 2_000;
   private static final int VOTER_PATIENCE_MS = 10_000;
 
-  private final Stage stage;
+  private final EmulatorLoop stage;
   private final World world;
   private final Ledger ledger;
   private final Registry registry;
@@ -83,7 +83,7 @@
 
   /** One gateway, and what is known of its process. */
   static final class Gate {
-    final Seat seat;
+    final GatewayEndpoint seat;
     final Path config;
     final Map<String, String> environment = new HashMap<>();
     final Path log;
@@ -99,7 +99,7 @@
     /** Where it listens for the other gateways; null where they share no record. */
     InetSocketAddress record;
 
-    Gate(Seat seat, Path folder) {
+    Gate(GatewayEndpoint seat, Path folder) {
       this.seat = seat;
       String name = "g" + (seat.gateway() + 1);
       config = folder.resolve(name + ".json");
@@ -108,7 +108,7 @@
   }
 
   Gateways(
-      Stage stage,
+      EmulatorLoop stage,
       World world,
       Ledger ledger,
       Registry registry,
@@ -128,7 +128,7 @@
     for (int i = 0; i < world.gatewaySites().size(); i++) {
       InetSocketAddress listen = Ports.free(GATEWAY_NET, i);
       InetSocketAddress list = Ports.free(DISCOVERY_NET, i);
-      Gate gate = new Gate(new Seat(i, world.gatewaySites().get(i), listen), folder);
+      Gate gate = new Gate(new GatewayEndpoint(i, world.gatewaySites().get(i), listen), folder);
       gate.discovery = Ports.text(list);
       discovery.open(i, list);
       gates.add(gate);
@@ -173,7 +173,7 @@
                 + " was not ready within 30 s; its log: "
                 + tail(gate.log));
       }
-      stage.loop().execute(() -> gate.seat.deal(true));
+      stage.loop().execute(() -> gate.seat.setInRotation(true));
     }
   }
 
@@ -194,7 +194,7 @@
             i,
             Ports.text(gate.seat.address()),
             gate.discovery,
-            Draws.mix(world.seed() + 1_000L * i + gate.starts),
+            SeededRandom.mix(world.seed() + 1_000L * i + gate.starts),
             registry.index(),
             links == null ? registry.all() : links.seenBy(i, registry.all()));
     try {
@@ -267,7 +267,7 @@
   void term(Gate gate) {
     gate.wanted = false;
     signal(gate, Signal.TERM);
-    stage.at(stage.now() + LEAVE_MS, () -> gate.seat.deal(false));
+    stage.at(stage.now() + LEAVE_MS, () -> gate.seat.setInRotation(false));
   }
 
   /** Nothing more can be written at it, to whatever file. */
@@ -290,7 +290,7 @@
     out(gate);
     writeConfig(gate);
     SplittableRandom random =
-        Draws.stream(world.seed(), "disk" + gate.seat.gateway() + "/" + gate.starts);
+        SeededRandom.stream(world.seed(), "disk" + gate.seat.gateway() + "/" + gate.starts);
     operators.execute(
         () -> {
           try {
@@ -357,8 +357,8 @@
     gate.wanted = true;
     ledger.outage(gate.seat.gateway(), gate.outSince, stage.now());
     gate.outSince = Double.NaN;
-    discovery.restarted(gate.seat.gateway());
-    gate.seat.deal(true);
+    discovery.gatewayRestarted(gate.seat.gateway());
+    gate.seat.setInRotation(true);
   }
 
   /** SIGSTOP. */
@@ -405,7 +405,7 @@
     signal(gate, Signal.CONT);
     ledger.outage(gate.seat.gateway(), gate.outSince, stage.now() + CATCH_UP_MS);
     gate.outSince = Double.NaN;
-    stage.at(stage.now() + CATCH_UP_MS, () -> gate.seat.deal(true));
+    stage.at(stage.now() + CATCH_UP_MS, () -> gate.seat.setInRotation(true));
   }
 
   void hangUp(Gate gate) {
@@ -436,14 +436,14 @@
   }
 
   private void undealLater(Gate gate) {
-    double unit = Draws.unit(world.seed(), gate.seat.gateway(), gate.outages++);
+    double unit = SeededRandom.unit(world.seed(), gate.seat.gateway(), gate.outages++);
     double notice = NOTICE_LEAST_MS + unit * (NOTICE_MOST_MS - NOTICE_LEAST_MS);
     double since = gate.outSince;
     stage.at(
         stage.now() + notice,
         () -> {
           if (gate.outSince == since) {
-            gate.seat.deal(false);
+            gate.seat.setInRotation(false);
           }
         });
   }
--- a/src/main/java/hazelspoke/emulator/run/LinkFaults.java
+++ b/src/main/java/hazelspoke/emulator/run/LinkFaults.java
@@ -1,10 +1,10 @@
 package hazelspoke.emulator.run;
 
 import hazelspoke.emulator.model.LinkName;
-import hazelspoke.emulator.model.LinkState.Trouble;
+import hazelspoke.emulator.model.LinkState.Impairment;
+import hazelspoke.emulator.net.EmulatorLoop;
 import hazelspoke.emulator.net.Link;
 import hazelspoke.emulator.net.Links;
-import hazelspoke.emulator.net.Stage;
 import hazelspoke.emulator.script.Fault;
 import java.util.HashMap;
 import java.util.Map;
@@ -14,49 +14,50 @@
 final class LinkFaults {
   private record On(Fault fault, String link) {}
 
-  private final Stage stage;
+  private final EmulatorLoop stage;
   private final Links links;
   private final Map<On, Runnable> ends = new HashMap<>();
 
   /**
    * @param links null where no script of this rehearsal strikes one
    */
-  LinkFaults(Stage stage, Links links) {
+  LinkFaults(EmulatorLoop stage, Links links) {
     this.stage = stage;
     this.links = links;
   }
 
   void begin(Fault fault, String name, double until) {
-    Link link = links.link(LinkName.read(name));
+    Link link = links.link(LinkName.parse(name));
     On on = new On(fault, name);
     switch (fault.kind()) {
       case LINK_RESET -> link.reset();
       case LINK_HALF_OPEN -> ends.put(on, link.halfOpen());
-      case LINK_LOSSY -> again(fault, link, until, () -> Trouble.silence(true, true), false);
-      case LINK_FLAPPING -> again(fault, link, until, Trouble::cut, true);
+      case LINK_LOSSY -> again(fault, link, until, () -> Impairment.silence(true, true), false);
+      case LINK_FLAPPING -> again(fault, link, until, Impairment::cut, true);
       case LINK_CUT -> {
-        hold(on, link, Trouble.cut());
+        hold(on, link, Impairment.cut());
         link.reset();
       }
-      case LINK_SILENT -> hold(on, link, Trouble.silence(true, true));
-      case LINK_MUTE -> hold(on, link, Trouble.silence(true, false));
-      case LINK_DEAF -> hold(on, link, Trouble.silence(false, true));
-      case LINK_SLOW -> hold(on, link, Trouble.delay(fault.factor()));
+      case LINK_SILENT -> hold(on, link, Impairment.silence(true, true));
+      case LINK_MUTE -> hold(on, link, Impairment.silence(true, false));
+      case LINK_DEAF -> hold(on, link, Impairment.silence(false, true));
+      case LINK_SLOW -> hold(on, link, Impairment.delay(fault.factor()));
       default -> throw new IllegalStateException(fault.kind() + " strikes no link");
     }
   }
 
-  private void hold(On on, Link link, Trouble trouble) {
+  private void hold(On on, Link link, Impairment trouble) {
     link.begin(trouble);
     ends.put(on, () -> link.end(trouble));
   }
 
   /** Comes and goes by itself until the fault is over. */
-  private void again(Fault fault, Link link, double until, Supplier<Trouble> what, boolean resets) {
+  private void again(
+      Fault fault, Link link, double until, Supplier<Impairment> what, boolean resets) {
     if (stage.now() >= until) {
       return;
     }
-    Trouble trouble = what.get();
+    Impairment trouble = what.get();
     link.begin(trouble);
     if (resets) {
       link.reset();
--- a/src/main/java/hazelspoke/emulator/run/Rehearsal.java
+++ b/src/main/java/hazelspoke/emulator/run/Rehearsal.java
@@ -12,10 +12,10 @@
 import hazelspoke.emulator.model.World;
 import hazelspoke.emulator.net.Clients;
 import hazelspoke.emulator.net.Discovery;
+import hazelspoke.emulator.net.EmulatorLoop;
+import hazelspoke.emulator.net.GatewayEndpoint;
 import hazelspoke.emulator.net.Host;
 import hazelspoke.emulator.net.Links;
-import hazelspoke.emulator.net.Seat;
-import hazelspoke.emulator.net.Stage;
 import hazelspoke.emulator.net.StockHost;
 import hazelspoke.emulator.report.Lanes;
 import hazelspoke.emulator.report.Results;
@@ -58,7 +58,7 @@
   private final PrintStream progress;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final Stage stage = new Stage(group.next());
+  private final EmulatorLoop stage = new EmulatorLoop(group.next());
   private final Ledger ledger = new Ledger();
   private final Registry registry = new Registry();
   private final List<Clients> clients = new ArrayList<>();
@@ -133,7 +133,7 @@
             fleet.start();
             discovery.start();
             for (Gateways.Gate gate : gateways.all()) {
-              discovery.known(gate.seat.gateway());
+              discovery.recordConfiguredHosts(gate.seat.gateway());
             }
           });
       progress.printf(
@@ -218,7 +218,7 @@
     base = stage.now() + LEAD_MS;
     for (int site = 0; site < script.fleet().sites().size(); site++) {
       int at = site;
-      List<Seat> seats =
+      List<GatewayEndpoint> seats =
           gateways.all().stream().map(g -> g.seat).filter(s -> s.site() == at).toList();
       clients.add(
           new Clients(
@@ -231,7 +231,7 @@
               this::ended));
     }
     new Faults(stage, world, fleet, gateways, links, discovery, registry, this::note).plan(base);
-    stage.beat(beats::add);
+    stage.monitorLag(beats::add);
     sample(0);
     tell(1);
     askNext();
@@ -248,7 +248,7 @@
       }
       next++;
       arrivals.add(now - arrival.atMs());
-      clients.get(arrival.site()).ask(arrival);
+      clients.get(arrival.site()).start(arrival);
     }
     if (world.arrivals().size() == 0) {
       stage.at(base + script.lengthMs(), () -> allDone.complete(null));
@@ -257,8 +257,8 @@
 
   private void ended(Outcome outcome) {
     Arrival arrival = world.arrivals().get(outcome.arrival().number());
-    outcomes.add(new Outcome(arrival, outcome.tries(), outcome.fate(), outcome.latencyMs()));
-    switch (outcome.fate()) {
+    outcomes.add(new Outcome(arrival, outcome.tries(), outcome.result(), outcome.latencyMs()));
+    switch (outcome.result()) {
       case SERVED -> served++;
       case REFUSED -> refused++;
       case FAILED -> failed++;
@@ -282,7 +282,7 @@
     stage.at(
         at,
         () -> {
-          int held = fleet.all().stream().mapToInt(h -> Math.max(0, h.held())).sum();
+          int held = fleet.all().stream().mapToInt(h -> Math.max(0, h.heldRequests())).sum();
           progress.printf(
               Locale.ROOT,
               "%6.1f s  asked %d  served %d  refused %d  failed %d  at hosts %d%n",
@@ -303,7 +303,8 @@
     stage.at(
         base + n * SAMPLE_MS,
         () -> {
-          queues.add(fleet.all().stream().mapToInt(h -> h.isUp() ? h.held() : -1).toArray());
+          queues.add(
+              fleet.all().stream().mapToInt(h -> h.isUp() ? h.heldRequests() : -1).toArray());
           samples.add(new ArrayList<>(gateways.all().stream().map(g -> g.sample).toList()));
           gateways.look();
           sample(n + 1);
@@ -327,11 +328,13 @@
           new Results.FaultNote(
               fault.atMs(),
               fault.endMs(),
-              Faults.describe(fault, world.struck().get(i)),
-              effects(fault, world.struck().get(i))));
+              Faults.describe(fault, world.affected().get(i)),
+              effects(fault, world.affected().get(i))));
     }
     long repeats =
-        fleet.all().stream().mapToLong(h -> h instanceof Host host ? host.repeated() : 0).sum();
+        fleet.all().stream()
+            .mapToLong(h -> h instanceof Host host ? host.suppressedDuplicates() : 0)
+            .sum();
     return new Results(
         script,
         world.seed(),
@@ -347,7 +350,7 @@
         Lanes.of(
             world.gatewaySites().size(),
             script.faults(),
-            world.struck(),
+            world.affected(),
             ledger.outages(),
             watch == null ? Map.of() : watch.leads()),
         fleet.all().stream().map(StockHost::name).toList(),
--- a/src/main/java/hazelspoke/emulator/run/StockServerProcess.java
+++ b/src/main/java/hazelspoke/emulator/run/StockServerProcess.java
@@ -1,12 +1,12 @@
 package hazelspoke.emulator.run;
 
 import hazelspoke.emulator.judge.Ledger.AttemptEnd;
-import hazelspoke.emulator.model.RepeatMemory;
+import hazelspoke.emulator.model.IdempotencyWindow;
 import hazelspoke.emulator.model.ServerSpec;
 import hazelspoke.emulator.model.World;
+import hazelspoke.emulator.net.EmulatorLoop;
 import hazelspoke.emulator.net.Host;
 import hazelspoke.emulator.net.HostSink;
-import hazelspoke.emulator.net.Stage;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -38,7 +38,7 @@
             .findFirst()
             .orElseThrow(() -> new IllegalArgumentException("the script has no host " + name));
     EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    Stage stage = new Stage(loop, zero);
+    EmulatorLoop stage = new EmulatorLoop(loop, zero);
     stage
         .failure()
         .whenComplete(
@@ -53,11 +53,11 @@
             listen,
             // Who knew of its start is not known here: it cannot be pushed over.
             Fleet.rules(world, Double.POSITIVE_INFINITY),
-            new RepeatMemory(Fleet.window(world.script())),
+            new IdempotencyWindow(Fleet.window(world.script())),
             new Lines(out));
     loop.execute(
         () -> {
-          stage.beat(late -> {});
+          stage.monitorLag(late -> {});
           host.start(cold);
         });
   }
@@ -81,7 +81,7 @@
 
     /** Not known here: what is sent to a cold host apart is not held against anybody. */
     @Override
-    public boolean knowsStart(String txn, String host) {
+    public boolean isStartKnownToGateway(String txn, String host) {
       return false;
     }
 
--- a/src/main/java/hazelspoke/emulator/torment/FaultDraw.java
+++ b/src/main/java/hazelspoke/emulator/torment/FaultDraw.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.torment;
 
-import hazelspoke.emulator.model.Draws;
+import hazelspoke.emulator.model.SeededRandom;
 import hazelspoke.emulator.script.Fault;
 import hazelspoke.emulator.script.Fault.Kind;
 import hazelspoke.emulator.script.Fault.Target;
@@ -70,7 +70,7 @@
 
   private FaultDraw(Script script, long seed) {
     this.script = script;
-    random = Draws.stream(seed, "torment");
+    random = SeededRandom.stream(seed, "torment");
   }
 
   /** Faults for a script of this length and fleet, in the order of their beginnings. */
@@ -160,7 +160,7 @@
 
   private Fault pause(double at) {
     String name = "g" + (1 + random.nextInt(script.fleet().gateways()));
-    double forMs = rounded(Draws.between(random, SHORTEST_PAUSE_MS, LONGEST_PAUSE_MS));
+    double forMs = rounded(SeededRandom.between(random, SHORTEST_PAUSE_MS, LONGEST_PAUSE_MS));
     Target target = new Target(List.of(name), 1, null, null, List.of());
     return fault(Kind.GATEWAY_PAUSE, at, forMs, target);
   }
@@ -216,12 +216,12 @@
     double to = 0;
     double every = 0;
     switch (kind) {
-      case LINK_SLOW -> factor = rounded(Draws.between(random, 5, 400));
+      case LINK_SLOW -> factor = rounded(SeededRandom.between(random, 5, 400));
       case LINK_LOSSY, LINK_FLAPPING -> {
-        every = 100 * rounded(Draws.between(random, 3, 15));
-        factor = rounded(Draws.between(random, 0.2, 0.8) * every);
+        every = 100 * rounded(SeededRandom.between(random, 3, 15));
+        factor = rounded(SeededRandom.between(random, 0.2, 0.8) * every);
       }
-      case RESET -> to = rounded(Draws.between(random, 10, 100)) / 100;
+      case RESET -> to = rounded(SeededRandom.between(random, 10, 100)) / 100;
       default -> {
         // No figures of its own.
       }
--- a/src/test/java/hazelspoke/emulator/model/LinkStateTest.java
+++ b/src/test/java/hazelspoke/emulator/model/LinkStateTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hazelspoke.emulator.model.LinkState.Door;
-import hazelspoke.emulator.model.LinkState.Trouble;
+import hazelspoke.emulator.model.LinkState.AcceptMode;
+import hazelspoke.emulator.model.LinkState.Impairment;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -15,21 +15,21 @@
   void theWorstHoldsAndWhateverTheOrderOfEndsAllIsAsBefore() {
     for (int seed = 0; seed < 200; seed++) {
       LinkState state = new LinkState();
-      state.host(Door.OPEN);
-      List<Trouble> on =
+      state.setHostAcceptMode(AcceptMode.OPEN);
+      List<Impairment> on =
           new ArrayList<>(
               List.of(
-                  Trouble.cut(),
-                  Trouble.silence(true, false),
-                  Trouble.silence(false, true),
-                  Trouble.silence(false, true),
-                  Trouble.delay(30),
-                  Trouble.delay(30)));
+                  Impairment.cut(),
+                  Impairment.silence(true, false),
+                  Impairment.silence(false, true),
+                  Impairment.silence(false, true),
+                  Impairment.delay(30),
+                  Impairment.delay(30)));
       on.forEach(state::add);
       assertThat(state.delayMs()).isEqualTo(60);
       Collections.shuffle(on, new Random(seed));
       while (!on.isEmpty()) {
-        Trouble over = on.remove(0);
+        Impairment over = on.remove(0);
         state.remove(over);
         state.remove(over);
         boolean there = on.stream().anyMatch(t -> holds(t, true));
@@ -37,25 +37,26 @@
         boolean cut = on.stream().anyMatch(LinkStateTest::refuses);
         assertThat(state.holds(true)).isEqualTo(there);
         assertThat(state.holds(false)).isEqualTo(back);
-        assertThat(state.door())
-            .isEqualTo(cut ? Door.REFUSING : there || back ? Door.SILENT : Door.OPEN);
+        assertThat(state.acceptMode())
+            .isEqualTo(
+                cut ? AcceptMode.REFUSING : there || back ? AcceptMode.SILENT : AcceptMode.OPEN);
       }
       assertThat(state.delayMs()).isZero();
-      state.host(Door.SILENT);
-      assertThat(state.door()).isEqualTo(Door.SILENT);
+      state.setHostAcceptMode(AcceptMode.SILENT);
+      assertThat(state.acceptMode()).isEqualTo(AcceptMode.SILENT);
     }
   }
 
-  private static boolean holds(Trouble trouble, boolean there) {
+  private static boolean holds(Impairment trouble, boolean there) {
     LinkState alone = new LinkState();
     alone.add(trouble);
     return alone.holds(there);
   }
 
-  private static boolean refuses(Trouble trouble) {
+  private static boolean refuses(Impairment trouble) {
     LinkState alone = new LinkState();
-    alone.host(Door.OPEN);
+    alone.setHostAcceptMode(AcceptMode.OPEN);
     alone.add(trouble);
-    return alone.door() == Door.REFUSING;
+    return alone.acceptMode() == AcceptMode.REFUSING;
   }
 }
--- a/src/test/java/hazelspoke/emulator/model/ModelsTest.java
+++ b/src/test/java/hazelspoke/emulator/model/ModelsTest.java
@@ -17,17 +17,17 @@
 
   @Test
   void aColdHostFallsByWhatComesWithinTheSpanAndNotByMoreOverLonger() {
-    ColdGuard calm = new ColdGuard(3, 3_000);
+    ColdOverloadDetector calm = new ColdOverloadDetector(3, 3_000);
     for (int t = 0; t < 60_000; t += 100) {
-      assertThat(calm.push(290, true, 1, t)).isFalse();
+      assertThat(calm.recordWork(290, true, 1, t)).isFalse();
     }
-    ColdGuard rushed = new ColdGuard(3, 3_000);
+    ColdOverloadDetector rushed = new ColdOverloadDetector(3, 3_000);
     boolean fell = false;
     for (int t = 0; t < 2_900; t += 100) {
-      fell |= rushed.push(t % 200 == 0 ? 500 : 300, t % 200 == 0, 1, t);
+      fell |= rushed.recordWork(t % 200 == 0 ? 500 : 300, t % 200 == 0, 1, t);
     }
     assertThat(fell).isTrue();
-    assertThat(rushed.toldShare()).isBetween(0.55, 0.7);
+    assertThat(rushed.informedShare()).isBetween(0.55, 0.7);
   }
 
   @Test
@@ -42,9 +42,9 @@
     assertThat(registry.since(1)).extracting(Entry::status).containsExactly(Status.GONE);
     assertThat(registry.since(registry.index())).isEmpty();
     assertThat(registry.since(0)).hasSize(1);
-    registry.late(5_000);
+    registry.setAnnouncementDelay(5_000);
     registry.announce(entry("b", Status.GONE), 3_000, 1_000);
-    registry.late(0);
+    registry.setAnnouncementDelay(0);
     registry.announce(entry("b", Status.READY), 3_100, 500);
     assertThat(registry.advance(60_000)).extracting(Entry::status).containsExactly(Status.READY);
   }
@@ -61,10 +61,10 @@
 
   @Test
   void aKeyRunsOnceWithinItsWindow() {
-    RepeatMemory memory = new RepeatMemory(1_500);
-    assertThat(memory.first("k", 0)).isTrue();
-    assertThat(memory.first("k", 1_500)).isFalse();
-    assertThat(memory.first("k", 1_501)).isTrue();
+    IdempotencyWindow memory = new IdempotencyWindow(1_500);
+    assertThat(memory.recordIfFirst("k", 0)).isTrue();
+    assertThat(memory.recordIfFirst("k", 1_500)).isFalse();
+    assertThat(memory.recordIfFirst("k", 1_501)).isTrue();
   }
 
   private static Script script(String more) throws Exception {
@@ -80,7 +80,7 @@
     assertThat(again).isEqualTo(world);
     assertThat(World.draw(script(more), 8).digest()).isNotEqualTo(world.digest());
     assertThat(World.draw(script(""), 7).digest()).isNotEqualTo(world.digest());
-    assertThat(world.struck().get(0)).hasSize(5);
+    assertThat(world.affected().get(0)).hasSize(5);
   }
 
   @Test
--- a/src/test/java/hazelspoke/emulator/model/StockServerTest.java
+++ b/src/test/java/hazelspoke/emulator/model/StockServerTest.java
@@ -61,10 +61,10 @@
   void coresServeOneEachAtTheirOwnSpeedAndOthersWait() {
     StockServer server = server(WARM);
     for (int i = 0; i < 5; i++) {
-      server.arrive(job(null, 100), 0);
+      server.submit(job(null, 100), 0);
     }
     assertThat(ends).containsExactly("j4 TURNED_AWAY 0.0");
-    assertThat(server.held()).isEqualTo(4);
+    assertThat(server.heldRequests()).isEqualTo(4);
     assertThat(server.next()).isEqualTo(50);
     server.advance(1_000);
     assertThat(ends.subList(1, 5))
@@ -74,15 +74,15 @@
   @Test
   void aKeySeenLatelyCostsLessUntilItIsForgottenOrPushedOut() {
     StockServer server = server(WARM);
-    server.arrive(job("k", 100), 0);
+    server.submit(job("k", 100), 0);
     server.advance(100);
-    server.arrive(job("k", 100), 100);
+    server.submit(job("k", 100), 100);
     server.advance(150);
-    server.arrive(job("k", 100), 2_000);
+    server.submit(job("k", 100), 2_000);
     server.advance(2_100);
-    server.arrive(job("a", 1), 2_100);
-    server.arrive(job("b", 1), 2_101);
-    server.arrive(job("k", 100), 2_110);
+    server.submit(job("a", 1), 2_100);
+    server.submit(job("b", 1), 2_101);
+    server.submit(job("k", 100), 2_110);
     server.advance(3_000);
     assertThat(ends)
         .contains("j0 SERVED 100.0", "j1 SERVED 150.0", "j2 SERVED 2100.0", "j5 SERVED 2210.0");
@@ -94,7 +94,7 @@
     assertThat(server.warmth(0)).isEqualTo(0.5);
     assertThat(server.warmth(500)).isEqualTo(0.75);
     assertThat(server.warmth(1_000)).isEqualTo(1);
-    server.arrive(job(null, 100), 0);
+    server.submit(job(null, 100), 0);
     server.advance(5_000);
     double end = Double.parseDouble(ends.get(0).split(" ")[2]);
     assertThat(end).isBetween(100 / 0.75, 100 / 0.5);
@@ -103,11 +103,11 @@
   @Test
   void coresThatStandStillGoOnWhereTheyStood() {
     StockServer server = server(WARM);
-    server.arrive(job(null, 100), 0);
-    server.standStill(true, 40);
+    server.submit(job(null, 100), 0);
+    server.setPaused(true, 40);
     assertThat(server.next()).isEqualTo(Double.POSITIVE_INFINITY);
-    server.standStill(false, 2_040);
-    server.slowBy(2, 2_050);
+    server.setPaused(false, 2_040);
+    server.setSlowdown(2, 2_050);
     server.advance(9_000);
     assertThat(ends).containsExactly("j0 SERVED 2150.0");
   }
@@ -118,11 +118,11 @@
     List<Job> all = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       all.add(job(null, 100));
-      server.arrive(all.get(i), 0);
+      server.submit(all.get(i), 0);
     }
     server.cancel(all.get(0), 10);
     server.cancel(all.get(2), 10);
-    assertThat(server.held()).isEqualTo(3);
+    assertThat(server.heldRequests()).isEqualTo(3);
     server.advance(1_000);
     assertThat(ends).containsExactly("j1 SERVED 50.0", "j0 SERVED 100.0", "j3 SERVED 100.0");
   }
@@ -130,11 +130,11 @@
   @Test
   void whatIsOverWhenItsTurnComesIsTurnedAwayAndADrainTakesNothingNew() {
     StockServer server = server(WARM);
-    server.arrive(job(null, 100), 0);
-    server.arrive(job(null, 100), 0);
-    server.arrive(new Job("late", null, 100, 20, false), 0);
+    server.submit(job(null, 100), 0);
+    server.submit(job(null, 100), 0);
+    server.submit(new Job("late", null, 100, 20, false), 0);
     server.drain(10);
-    server.arrive(job(null, 1), 10);
+    server.submit(job(null, 1), 10);
     server.advance(1_000);
     assertThat(ends)
         .containsExactly(
@@ -162,7 +162,7 @@
         server.advance(t);
       }
       at = next;
-      server.arrive(job("k" + random.nextInt(9), 1 + random.nextInt(200)), at);
+      server.submit(job("k" + random.nextInt(9), 1 + random.nextInt(200)), at);
       assertThat(server.queued()).isLessThanOrEqualTo(spec.queue());
     }
     server.advance(1e6);
--- a/src/test/java/hazelspoke/emulator/net/DiscoveryTest.java
+++ b/src/test/java/hazelspoke/emulator/net/DiscoveryTest.java
@@ -27,7 +27,7 @@
   private static final int PATIENCE_MS = 30_000;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final Stage stage = new Stage(group.next());
+  private final EmulatorLoop stage = new EmulatorLoop(group.next());
   private final Ledger ledger = new Ledger();
   private final Registry registry = new Registry();
   private InetSocketAddress address;
@@ -42,7 +42,7 @@
           registry.put(entry("s1", Status.READY));
           registry.put(entry("s2", Status.READY));
           discovery.open(0, address);
-          discovery.known(0);
+          discovery.recordConfiguredHosts(0);
           discovery.start();
           return null;
         });
@@ -117,7 +117,7 @@
       awaitTold("s1", true, true, false);
       onLoop(
           () -> {
-            discovery.down(true);
+            discovery.setUnavailable(true);
             return null;
           });
       assertThat(until(in, "{")).isNull();
@@ -144,7 +144,7 @@
     double at =
         onLoop(
             () -> {
-              discovery.down(true);
+              discovery.setUnavailable(true);
               registry.announce(entry("s2", Status.GONE), stage.now(), 0);
               return stage.now();
             });
--- a/src/test/java/hazelspoke/emulator/net/HostTest.java
+++ b/src/test/java/hazelspoke/emulator/net/HostTest.java
@@ -5,7 +5,7 @@
 
 import hazelspoke.emulator.judge.Ledger;
 import hazelspoke.emulator.judge.Ledger.AttemptEnd;
-import hazelspoke.emulator.model.RepeatMemory;
+import hazelspoke.emulator.model.IdempotencyWindow;
 import hazelspoke.emulator.model.ServerSpec;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -34,7 +34,7 @@
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final Stage stage = new Stage(group.next());
+  private final EmulatorLoop stage = new EmulatorLoop(group.next());
   private final Ledger ledger = new Ledger();
   private Host host;
   private int asked;
@@ -76,7 +76,7 @@
             spec(),
             Ports.free(77, 300),
             new Host.Rules(true, false, 3, 3_000, 0, 1),
-            new RepeatMemory(LONG_MS),
+            new IdempotencyWindow(LONG_MS),
             new LedgerSink(ledger));
     onLoop(() -> host.start(false));
     // Bound on a later turn of the loop.
@@ -144,7 +144,7 @@
 
   private void awaitHeld(int count) throws InterruptedException {
     long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-    while (stage.loop().submit(host::held).syncUninterruptibly().getNow() != count) {
+    while (stage.loop().submit(host::heldRequests).syncUninterruptibly().getNow() != count) {
       assertThat(System.nanoTime()).isLessThan(limit);
       Thread.sleep(5);
     }
@@ -156,9 +156,9 @@
       String txn = send(socket, 1);
       String answer = receive(socket);
       assertThat(answer).startsWith("HTTP/1.1 200").endsWith(Wire.answerBody(txn, "s1"));
-      assertThat(Wire.maker(txn, Wire.answerBody(txn, "s1"))).isEqualTo("s1");
-      assertThat(Wire.maker("other", Wire.answerBody(txn, "s1"))).isNull();
-      assertThat(Wire.maker(txn, Wire.answerBody(txn, "s1") + "=")).isNull();
+      assertThat(Wire.respondingHost(txn, Wire.answerBody(txn, "s1"))).isEqualTo("s1");
+      assertThat(Wire.respondingHost("other", Wire.answerBody(txn, "s1"))).isNull();
+      assertThat(Wire.respondingHost(txn, Wire.answerBody(txn, "s1") + "=")).isNull();
       onLoop(() -> assertThat(end(txn)).isEqualTo(AttemptEnd.SERVED));
     }
   }
@@ -196,10 +196,10 @@
       awaitHeld(0);
       sendKeyed(keyed);
       assertThat(receive(keyed)).startsWith("HTTP/1.1 200");
-      onLoop(() -> assertThat(host.repeated()).isZero());
+      onLoop(() -> assertThat(host.suppressedDuplicates()).isZero());
       sendKeyed(keyed);
       assertThat(receive(keyed)).startsWith("HTTP/1.1 200");
-      onLoop(() -> assertThat(host.repeated()).isEqualTo(1));
+      onLoop(() -> assertThat(host.suppressedDuplicates()).isEqualTo(1));
     }
   }
 
@@ -230,7 +230,7 @@
 
   @Test
   void anErrorPromisesNothing() throws Exception {
-    onLoop(() -> host.errors(at -> 1));
+    onLoop(() -> host.setErrorRate(at -> 1));
     try (Socket socket = connect()) {
       send(socket, 1);
       assertThat(receive(socket)).startsWith("HTTP/1.1 500").doesNotContain("X-Turned-Away");
@@ -239,7 +239,7 @@
 
   @Test
   void aBrokenOffAnswerIsHalfAnAnswer() throws Exception {
-    onLoop(() -> host.resets(1));
+    onLoop(() -> host.setResetRate(1));
     try (Socket socket = connect()) {
       String txn = send(socket, 1);
       assertThatThrownBy(
@@ -370,11 +370,11 @@
     try (Socket socket = connect()) {
       send(socket, 1);
       receive(socket);
-      onLoop(() -> host.refuse(true));
+      onLoop(() -> host.setRefusing(true));
       awaitRefused();
       send(socket, 1);
       assertThat(receive(socket)).startsWith("HTTP/1.1 200");
-      onLoop(() -> host.refuse(false));
+      onLoop(() -> host.setRefusing(false));
     }
     awaitServed();
   }
--- a/src/test/java/hazelspoke/emulator/net/LinkTest.java
+++ b/src/test/java/hazelspoke/emulator/net/LinkTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import hazelspoke.emulator.model.LinkState.Door;
-import hazelspoke.emulator.model.LinkState.Trouble;
+import hazelspoke.emulator.model.LinkState.AcceptMode;
+import hazelspoke.emulator.model.LinkState.Impairment;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -35,7 +35,7 @@
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final Stage stage = new Stage(group.next());
+  private final EmulatorLoop stage = new EmulatorLoop(group.next());
   private final Map<SocketAddress, Link.Passage> passages = new HashMap<>();
   private ServerSocket host;
   private Link link;
@@ -52,8 +52,8 @@
             passages,
             "s1");
     // Without it the stage takes itself for one that stands still, and what is read for long sent.
-    on(l -> stage.beat(late -> {}));
-    on(l -> l.hostDoor(Door.OPEN));
+    on(l -> stage.monitorLag(late -> {}));
+    on(l -> l.setHostAcceptMode(AcceptMode.OPEN));
   }
 
   @AfterEach
@@ -170,17 +170,17 @@
 
   @Test
   void aHostThatRefusesOrHasVanishedIsSeenAsThatThroughTheRelay() throws Exception {
-    on(l -> l.hostDoor(Door.REFUSING));
+    on(l -> l.setHostAcceptMode(AcceptMode.REFUSING));
     awaitConnect(ConnectException.class);
-    on(l -> l.hostDoor(Door.SILENT));
+    on(l -> l.setHostAcceptMode(AcceptMode.SILENT));
     awaitConnect(SocketTimeoutException.class);
-    on(l -> l.hostDoor(Door.OPEN));
+    on(l -> l.setHostAcceptMode(AcceptMode.OPEN));
     new Pair().close();
   }
 
   @Test
   void aCutRefusesAndAResetEndsBothSides() throws Exception {
-    Trouble cut = Trouble.cut();
+    Impairment cut = Impairment.cut();
     try (Pair pair = new Pair()) {
       on(l -> l.begin(cut));
       on(Link::reset);
@@ -196,7 +196,7 @@
   @Test
   void eachDirectionIsSilencedByItself() throws Exception {
     for (boolean there : new boolean[] {true, false}) {
-      Trouble silence = Trouble.silence(there, !there);
+      Impairment silence = Impairment.silence(there, !there);
       try (Pair pair = new Pair()) {
         Socket lost = there ? pair.caller : pair.called;
         Socket other = there ? pair.called : pair.caller;
@@ -220,7 +220,7 @@
 
   @Test
   void overASilentWayNoResetIsHeard() throws Exception {
-    Trouble silence = Trouble.silence(true, true);
+    Impairment silence = Impairment.silence(true, true);
     try (Pair pair = new Pair()) {
       on(l -> l.begin(silence));
       pair.called.setSoLinger(true, 0);
@@ -248,7 +248,7 @@
   /** And the host's reader can tell when that was sent which has come so late. */
   @Test
   void aSlowWayDelaysBytesAndKeepsWhenTheyWereSent() throws Exception {
-    on(l -> l.begin(Trouble.delay(SILENCE_MS)));
+    on(l -> l.begin(Impairment.delay(SILENCE_MS)));
     try (Pair pair = new Pair()) {
       double before = stage.now();
       say(pair.caller, 'x');
@@ -264,7 +264,7 @@
    */
   @Test
   void whatWasSentIntoASilenceCountsAsSentWhenThatBegan() throws Exception {
-    Trouble silence = Trouble.silence(true, true);
+    Impairment silence = Impairment.silence(true, true);
     try (Pair pair = new Pair()) {
       on(l -> l.begin(silence));
       double begun = stage.now();
@@ -307,7 +307,7 @@
   void whatIsLargeArrivesWholeAndHoldsUpItsSender() throws Exception {
     byte[] large = new byte[8 << 20];
     new Random(1).nextBytes(large);
-    Trouble silence = Trouble.silence(true, true);
+    Impairment silence = Impairment.silence(true, true);
     try (Pair pair = new Pair()) {
       on(l -> l.begin(silence));
       Thread writer =
--- a/src/test/java/hazelspoke/emulator/report/TallyTest.java
+++ b/src/test/java/hazelspoke/emulator/report/TallyTest.java
@@ -4,7 +4,7 @@
 
 import hazelspoke.emulator.model.Arrival;
 import hazelspoke.emulator.model.Outcome;
-import hazelspoke.emulator.model.Outcome.Fate;
+import hazelspoke.emulator.model.Outcome.Result;
 import hazelspoke.emulator.script.Script;
 import hazelspoke.emulator.script.ScriptReader;
 import java.util.ArrayList;
@@ -28,7 +28,7 @@
           new Outcome(
               new Arrival(i, 23_000 * random.nextDouble(), 0, random.nextInt(2), 0, 1, 1),
               random.nextInt(4),
-              Fate.values()[random.nextInt(3)],
+              Result.values()[random.nextInt(3)],
               2_000 * random.nextDouble()));
     }
     Tally tally = new Tally(script, outcomes);
