--- a/src/test/java/hazelspoke/front/http/AcceptFailuresTest.java
+++ b/src/test/java/hazelspoke/front/http/AcceptFailuresTest.java
@@ -29,15 +29,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The system does not let a client in for a moment, or this program errs at one. */
+/** Accepting a client fails for a moment, or an unexpected exception occurs on its connection. */
 class AcceptFailuresTest {
-  /** The loop keeps to the order of its timers, and Netty's own handler waits for 1 s. */
-  private static final long WELL_WITHIN_A_SECOND_MS = 400;
+  /**
+   * Netty's own handler pauses accepting for 1 s. The loop runs its timers in order, so a later
+   * check cannot run before a resume that was due earlier.
+   */
+  private static final long RESUME_WITHIN_MS = 400;
 
   private static final int PATIENCE_MS = 30_000;
 
   private final EventLoopGroup group = EventLoops.single();
-  private final ByteArrayOutputStream text = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
 
   @AfterEach
   void stop() {
@@ -46,35 +49,35 @@
 
   private Channel listen() throws Exception {
     Clock clock = new Clock();
-    Log log = new Log(new PrintStream(text, true), clock);
+    Log log = new Log(new PrintStream(logOutput, true), clock);
     Violations violations = new Violations(log, Meter.NONE);
     ClientServer server =
         new ClientServer(
             group.next(), clock, null, null, null, new ByteBudget(1), log, violations, 100);
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    return server.listen(Transport.TCP, any, false).sync().channel();
+    InetSocketAddress loopback = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    return server.listen(Transport.TCP, loopback, false).sync().channel();
   }
 
   @Test
-  void othersAreLetInSoonAfterwards() throws Exception {
+  void resumesAcceptingSoonAfterFailure() throws Exception {
     Channel listener = listen();
     EventLoop loop = group.next();
     loop.submit(() -> listener.pipeline().fireExceptionCaught(new IOException("Too many files")))
         .sync();
     assertThat(listener.config().isAutoRead()).isFalse();
-    loop.schedule(() -> {}, WELL_WITHIN_A_SECOND_MS, TimeUnit.MILLISECONDS).sync();
+    loop.schedule(() -> {}, RESUME_WITHIN_MS, TimeUnit.MILLISECONDS).sync();
     assertThat(listener.config().isAutoRead()).isTrue();
-    assertThat(text.toString()).contains("cannot accept a client connection");
+    assertThat(logOutput.toString()).contains("cannot accept a client connection");
   }
 
-  /** What has begun is answered; where nothing was asked an answer would be the next request's. */
+  /** A response without a pending request would be taken for that to the next request. */
   @ParameterizedTest
   @CsvSource({"POST /dispatch HTT, HTTP/1.1 500", "'', ''"})
-  void anErrorOfThisProgramIsAnsweredWhereSomethingWasAsked(String asked, String answered)
+  void respondsToUnexpectedExceptionOnlyIfRequestHasBegun(String sent, String expectedStart)
       throws Exception {
     Channel listener = listen();
     CompletableFuture<Channel> accepted = new CompletableFuture<>();
-    ChannelInboundHandlerAdapter noting =
+    ChannelInboundHandlerAdapter childRecorder =
         new ChannelInboundHandlerAdapter() {
           @Override
           public void channelRead(ChannelHandlerContext ctx, Object child) {
@@ -82,13 +85,13 @@
             accepted.complete((Channel) child);
           }
         };
-    // On the loop, so that it is in place before the client connects.
-    group.next().submit(() -> listener.pipeline().addFirst(noting)).sync();
+    // On the loop, so that the handler is installed before the client connects.
+    group.next().submit(() -> listener.pipeline().addFirst(childRecorder)).sync();
     InetSocketAddress address = (InetSocketAddress) listener.localAddress();
     try (Socket client = new Socket(address.getAddress(), address.getPort())) {
       client.setSoTimeout(PATIENCE_MS);
       Channel child = accepted.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-      client.getOutputStream().write(asked.getBytes(StandardCharsets.US_ASCII));
+      client.getOutputStream().write(sent.getBytes(StandardCharsets.US_ASCII));
       group
           .next()
           .submit(
@@ -97,10 +100,11 @@
                 child.pipeline().fireExceptionCaught(new IllegalStateException("a bug"));
               })
           .sync();
-      String all = new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-      assertThat(all).startsWith(answered);
-      assertThat(all.isEmpty()).isEqualTo(answered.isEmpty());
-      assertThat(text.toString()).contains("a bug").doesNotContain("violation");
+      String received =
+          new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+      assertThat(received).startsWith(expectedStart);
+      assertThat(received.isEmpty()).isEqualTo(expectedStart.isEmpty());
+      assertThat(logOutput.toString()).contains("a bug").doesNotContain("violation");
     }
   }
 }
--- a/src/test/java/hazelspoke/node/WindowTest.java
+++ b/src/test/java/hazelspoke/node/DedupWindowTest.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Repeats of requests with a key, which hosts drop only for a while. */
-class WindowTest {
+/** Retries of requests with an idempotency key, which hosts recognize only within a window. */
+class DedupWindowTest {
   private static final int WINDOW_MS = 2_000;
 
-  /** The second try is decided well inside the window, and its connection comes up after it. */
+  /** The retry is decided well within the window, but its connection is established after it. */
   @Test
-  void aRepeatWhoseConnectionComesUpTooLateIsNotWritten() throws Exception {
+  void doesNotSendRetryAfterDedupWindow() throws Exception {
     CountDownLatch fail = new CountDownLatch(1);
     try (FakeServer first =
             new FakeServer(
@@ -35,13 +35,13 @@
           client,
           Rig.dispatch(Rig.id(), "Idempotency-Key: k\r\nContent-Length: 0\r\n")
               .replace("dispatch", "reserve"));
-      Rig.await("the first has it", () -> first.heads.size() == 1);
+      Rig.await("the first host has the request", () -> first.heads.size() == 1);
       discovery.push(Rig.list(2, false, Rig.entry(late.address(), "Ready")));
-      Rig.await("the second is known", () -> rig.metric("known_hosts") == 2);
+      Rig.await("the second host is known", () -> rig.metric("known_hosts") == 2);
       fail.countDown();
-      CountDownLatch over = new CountDownLatch(1);
-      rig.gateway.loop.schedule(over::countDown, WINDOW_MS + 200, TimeUnit.MILLISECONDS);
-      Rig.awaitLatch(over);
+      CountDownLatch windowExpired = new CountDownLatch(1);
+      rig.gateway.loop.schedule(windowExpired::countDown, WINDOW_MS + 200, TimeUnit.MILLISECONDS);
+      Rig.awaitLatch(windowExpired);
       assertThat(late.acceptAndCountSenders()).isZero();
       assertThat(rig.metric("upstream_tries")).isEqualTo(1);
     }
--- a/src/test/java/hazelspoke/node/DisconnectedClientsTest.java
+++ b/src/test/java/hazelspoke/node/DisconnectedClientsTest.java
@@ -9,9 +9,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Requests whose clients leave while they wait: nothing is sent on for them, nothing is kept. */
+/**
+ * Requests whose clients disconnect while they wait: the gateway sends nothing for them and keeps
+ * no state.
+ */
 class DisconnectedClientsTest {
-  /** How a client may leave. */
+  /** How a client disconnects. */
   enum Disconnection {
     CLOSE,
     HALF_CLOSE,
@@ -29,24 +32,27 @@
     }
   }
 
-  private static FakeServer answering() throws IOException {
+  private static FakeServer respondingHost() throws IOException {
     return new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
   }
 
-  /** Nothing of them is in hand, and the gateway serves on, with the next request alone. */
-  private static void assertForgotten(Rig rig, FakeServer host) throws Exception {
-    int asked = host.heads.size();
+  /** No request is in progress, and the host gets the next request and no other. */
+  private static void assertNoStateKept(Rig rig, FakeServer host) throws Exception {
+    int requestCount = host.heads.size();
     rig.runLoopIterations();
     assertThat(rig.metric("in_progress")).isZero();
     assertThat(rig.request(Rig.look(Rig.id(), ""))).contains(" 200 ");
-    assertThat(host.heads).hasSize(asked + 1);
+    assertThat(host.heads).hasSize(requestCount + 1);
   }
 
-  /** Request and end lie in the kernel when the loop comes to read, and a connection is at hand. */
+  /**
+   * Request and disconnection are pending in the kernel when the stalled loop reads, and an idle
+   * host connection exists.
+   */
   @ParameterizedTest
   @EnumSource
-  void whileTheLoopStandsStill(Disconnection disconnection) throws Exception {
-    try (FakeServer host = answering();
+  void whileLoopIsStalled(Disconnection disconnection) throws Exception {
+    try (FakeServer host = respondingHost();
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket client = rig.connect();
@@ -54,65 +60,65 @@
       Rig.send(client, Rig.look(Rig.id(), ""));
       assertThat(Rig.receive(client)).contains(" 200 ");
       rig.awaitReusableConnections();
-      CountDownLatch goOn = new CountDownLatch(1);
-      rig.gateway.loop.execute(() -> Rig.awaitLatch(goOn));
+      CountDownLatch resumeLoop = new CountDownLatch(1);
+      rig.gateway.loop.execute(() -> Rig.awaitLatch(resumeLoop));
       Rig.send(client, Rig.look(Rig.id(), ""));
       disconnection.apply(client);
       Rig.send(fresh, Rig.look(Rig.id(), ""));
       disconnection.apply(fresh);
-      goOn.countDown();
+      resumeLoop.countDown();
       rig.runLoopIterations();
       assertThat(host.heads).hasSize(1);
       assertThat(rig.metric("left.waiting")).isEqualTo(2);
       assertThat(rig.metric("left.sent")).isZero();
-      assertForgotten(rig, host);
+      assertNoStateKept(rig, host);
     }
   }
 
-  /** It waits with its end in the kernel until there is room for it. */
+  /** The client disconnects in the accept queue, where it waits for room. */
   @ParameterizedTest
   @EnumSource
-  void beforeItIsLetIn(Disconnection disconnection) throws Exception {
-    CountDownLatch goOn = new CountDownLatch(1);
-    try (FakeServer host = Rig.blockingHost("/dispatch/wait", goOn);
+  void whileInAcceptQueue(Disconnection disconnection) throws Exception {
+    CountDownLatch respond = new CountDownLatch(1);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", respond);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(60 + 56 + Management.DESCRIPTORS, discovery, host)) {
       Socket[] first = new Socket[20];
       for (int i = 0; i < first.length; i++) {
         first[i] = rig.connect();
         Rig.send(first[i], Rig.dispatch(Rig.id(), "").replace("/dispatch ", "/dispatch/wait "));
-        int taken = i + 1;
-        Rig.await("in hand", () -> host.heads.size() == taken);
+        int expectedCount = i + 1;
+        Rig.await("the request at the host", () -> host.heads.size() == expectedCount);
       }
       try (Socket late = rig.connect()) {
         Rig.send(late, Rig.look(Rig.id(), ""));
         disconnection.apply(late);
         rig.runLoopIterations();
-        goOn.countDown();
+        respond.countDown();
         for (Socket socket : first) {
           assertThat(Rig.receive(socket)).contains(" 200 ");
           socket.close();
         }
         rig.runLoopIterations();
         assertThat(host.heads).hasSize(first.length);
-        assertForgotten(rig, host);
+        assertNoStateKept(rig, host);
       }
     } finally {
-      goOn.countDown();
+      respond.countDown();
     }
   }
 
-  /** The module holds it, as there is no host; one comes when the client has left. */
+  /** The balancer holds the request without a host; one is added after the disconnection. */
   @ParameterizedTest
   @EnumSource
-  void whileItIsHeld(Disconnection disconnection) throws Exception {
-    try (FakeServer host = answering();
+  void whileHeldByBalancer(Disconnection disconnection) throws Exception {
+    try (FakeServer host = respondingHost();
         FakeDiscovery discovery = new FakeDiscovery(Rig.list(1, true));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
       Rig.await("the list", () -> discovery.watchesAnswered() == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
-      Rig.await("it is taken", () -> rig.metric("in_progress") == 1);
+      Rig.await("the request is accepted", () -> rig.metric("in_progress") == 1);
       disconnection.apply(client);
       rig.runLoopIterations();
       assertThat(rig.metric("in_progress")).isZero();
@@ -120,37 +126,37 @@
       Rig.await("the host is known", () -> rig.metric("known_hosts") == 1);
       rig.runLoopIterations();
       assertThat(host.heads).isEmpty();
-      assertForgotten(rig, host);
+      assertNoStateKept(rig, host);
     }
   }
 
-  /** The list brings a host in the same turn in which the client's end is read. */
+  /** A host is added in the event-loop iteration in which the disconnection is read. */
   @ParameterizedTest
   @EnumSource
-  void whileItIsHeldAndTheLoopStandsStill(Disconnection disconnection) throws Exception {
-    try (FakeServer host = answering();
+  void whileHeldByBalancerAndLoopIsStalled(Disconnection disconnection) throws Exception {
+    try (FakeServer host = respondingHost();
         FakeDiscovery discovery = new FakeDiscovery(Rig.list(1, true));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
       Rig.await("the list", () -> discovery.watchesAnswered() == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
-      Rig.await("it is taken", () -> rig.metric("in_progress") == 1);
-      CountDownLatch goOn = new CountDownLatch(1);
-      rig.gateway.loop.execute(() -> Rig.awaitLatch(goOn));
+      Rig.await("the request is accepted", () -> rig.metric("in_progress") == 1);
+      CountDownLatch resumeLoop = new CountDownLatch(1);
+      rig.gateway.loop.execute(() -> Rig.awaitLatch(resumeLoop));
       discovery.push(Rig.list(2, false, Rig.entry(host.address(), "Ready")));
       disconnection.apply(client);
-      goOn.countDown();
+      resumeLoop.countDown();
       Rig.await("the host is known", () -> rig.metric("known_hosts") == 1);
       rig.runLoopIterations();
       assertThat(host.heads).isEmpty();
-      assertForgotten(rig, host);
+      assertNoStateKept(rig, host);
     }
   }
 
-  /** Its connection to the host comes up once the client has left. */
+  /** The connection to the host is established after the disconnection. */
   @ParameterizedTest
   @EnumSource
-  void whileItWaitsForAConnection(Disconnection disconnection) throws Exception {
+  void whileConnectingToHost(Disconnection disconnection) throws Exception {
     try (FullBacklogListener late = new FullBacklogListener();
         FakeDiscovery discovery =
             new FakeDiscovery(Rig.list(1, true, Rig.entry(late.address(), "Ready")));
@@ -158,7 +164,7 @@
         Socket client = rig.connect()) {
       Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
-      Rig.await("it is taken", () -> rig.metric("in_progress") == 1);
+      Rig.await("the request is accepted", () -> rig.metric("in_progress") == 1);
       rig.runLoopIterations();
       disconnection.apply(client);
       rig.runLoopIterations();
@@ -168,7 +174,7 @@
     }
   }
 
-  /** A failed attempt and the client's end are read in the same turn. */
+  /** A failed attempt and the disconnection are read in the same event-loop iteration. */
   @ParameterizedTest
   @EnumSource
   void betweenTwoAttempts(Disconnection disconnection) throws Exception {
@@ -182,38 +188,38 @@
                   failed.countDown();
                   return true;
                 });
-        FakeServer second = answering();
+        FakeServer second = respondingHost();
         FakeDiscovery discovery =
             new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), "Ready")));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
       Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
-      Rig.await("the first has it", () -> first.heads.size() == 1);
+      Rig.await("the first host has the request", () -> first.heads.size() == 1);
       discovery.push(
           Rig.list(
               2,
               true,
               Rig.entry(first.address(), "Terminating"),
               Rig.entry(second.address(), "Ready")));
-      Rig.await("both are known", () -> rig.metric("known_hosts") == 2);
-      CountDownLatch goOn = new CountDownLatch(1);
-      rig.gateway.loop.execute(() -> Rig.awaitLatch(goOn));
+      Rig.await("both hosts are known", () -> rig.metric("known_hosts") == 2);
+      CountDownLatch resumeLoop = new CountDownLatch(1);
+      rig.gateway.loop.execute(() -> Rig.awaitLatch(resumeLoop));
       fail.countDown();
       Rig.awaitLatch(failed);
       disconnection.apply(client);
-      goOn.countDown();
+      resumeLoop.countDown();
       rig.runLoopIterations();
       rig.runLoopIterations();
       assertThat(second.heads).isEmpty();
       assertThat(rig.metric("left.sent")).isEqualTo(1);
-      assertForgotten(rig, second);
+      assertNoStateKept(rig, second);
     }
   }
 
-  /** What comes ahead of an answer is not sent on either, once the client that reads none left. */
+  /** A request pipelined behind an unread response is not sent after the disconnection. */
   @Test
-  void whileItStandsBehindAnAnswerThatIsNotRead() throws Exception {
+  void whilePipelinedBehindUnreadResponse() throws Exception {
     String large = FakeServer.ok("x".repeat(16 << 20));
     try (FakeServer host =
             new FakeServer(
@@ -224,35 +230,35 @@
         Rig rig = new Rig(160, discovery, host);
         Socket client = rig.connect()) {
       Rig.send(client, Rig.look(Rig.id(), "").replace("/look ", "/look/large "));
-      Rig.await("its answer has begun", () -> rig.metric("passed.look") == 1);
+      Rig.await("its response has begun", () -> rig.metric("passed.look") == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
       rig.runLoopIterations();
       client.setSoLinger(true, 0);
       client.close();
       rig.runLoopIterations();
       assertThat(host.heads).hasSize(1);
-      assertForgotten(rig, host);
+      assertNoStateKept(rig, host);
     }
   }
 
-  /** The rest of its body never comes: no host is left with a request that might run. */
+  /** The body stays incomplete: no host gets a request that could run. */
   @ParameterizedTest
   @EnumSource
-  void inMidUpload(Disconnection disconnection) throws Exception {
-    try (FakeServer host = answering();
+  void duringUpload(Disconnection disconnection) throws Exception {
+    try (FakeServer host = respondingHost();
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket client = rig.connect()) {
       int length = 1 << 20;
       Rig.send(client, Rig.dispatch(Rig.id(), "Content-Length: " + length + "\r\n"));
       Rig.send(client, "x".repeat(length / 2));
-      Rig.await("it has begun at the host", () -> host.connections.get() == 1);
+      Rig.await("the connection to the host", () -> host.connections.get() == 1);
       rig.runLoopIterations();
       disconnection.apply(client);
-      Rig.await("it is over", () -> rig.metric("in_progress") == 0);
+      Rig.await("the request has ended", () -> rig.metric("in_progress") == 0);
       rig.runLoopIterations();
       assertThat(host.heads).isEmpty();
-      assertForgotten(rig, host);
+      assertNoStateKept(rig, host);
     }
   }
 }
--- a/src/test/java/hazelspoke/node/ListEndingsTest.java
+++ b/src/test/java/hazelspoke/node/DiscoveryUpdatesTest.java
@@ -6,13 +6,16 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What is owed to hosts that begin to drain, and by when the gateway has to know of it. */
-class ListEndingsTest {
+/**
+ * Hosts that begin to drain get no new requests, and the gateway learns of it in time: during a
+ * shutdown, after a reload, and after discovery was unresponsive.
+ */
+class DiscoveryUpdatesTest {
   private static final String READY = "Ready";
-  private static final String DRAINING = "Terminating";
+  private static final String TERMINATING = "Terminating";
 
-  /** A host that holds what it is asked until it may fail, and one that answers. */
-  private static FakeServer failing(CountDownLatch until) throws Exception {
+  /** A host that fails each request once the latch opens. */
+  private static FakeServer failingHost(CountDownLatch until) throws Exception {
     return new FakeServer(
         (head, out) -> {
           Rig.awaitLatch(until);
@@ -20,27 +23,27 @@
         });
   }
 
-  private static FakeServer answering(String text) throws Exception {
+  private static FakeServer respondingHost(String text) throws Exception {
     return new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok(text)));
   }
 
-  /** The second try comes after the leave began, when its host has begun to drain. */
+  /** The second attempt is due during the shutdown, when its host has begun to drain. */
   @Test
-  void theListIsFollowedInALeaveUntilNothingCanBeSentAnyMore() throws Exception {
+  void followsListDuringShutdown() throws Exception {
     CountDownLatch fail = new CountDownLatch(1);
-    try (FakeServer first = failing(fail);
-        FakeServer second = answering("second");
+    try (FakeServer first = failingHost(fail);
+        FakeServer second = respondingHost("second");
         FakeDiscovery discovery =
             new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), READY)));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
       Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
-      Rig.await("the first has it", () -> first.heads.size() == 1);
+      Rig.await("the first host has the request", () -> first.heads.size() == 1);
       discovery.push(Rig.list(2, false, Rig.entry(second.address(), READY)));
-      Rig.await("the second is known", () -> rig.metric("known_hosts") == 2);
-      Thread leaving = rig.beginShutdown();
-      discovery.push(Rig.list(3, false, Rig.entry(second.address(), DRAINING)));
+      Rig.await("the second host is known", () -> rig.metric("known_hosts") == 2);
+      Thread shutdown = rig.beginShutdown();
+      discovery.push(Rig.list(3, false, Rig.entry(second.address(), TERMINATING)));
       rig.runLoopIterations();
       fail.countDown();
       rig.runLoopIterations();
@@ -48,15 +51,15 @@
       assertThat(second.heads).isEmpty();
       discovery.push(Rig.list(4, false, Rig.entry(second.address(), READY)));
       assertThat(Rig.receive(client)).contains(" 200 ").endsWith("second");
-      leaving.join();
+      shutdown.join();
     }
   }
 
   @Test
-  void aNewConfigurationMovesDiscoveryInALeaveToo() throws Exception {
+  void movesDiscoveryOnReloadDuringShutdown() throws Exception {
     CountDownLatch fail = new CountDownLatch(1);
-    try (FakeServer first = failing(fail);
-        FakeServer second = answering("second");
+    try (FakeServer first = failingHost(fail);
+        FakeServer second = respondingHost("second");
         FakeDiscovery before =
             new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), READY)));
         FakeDiscovery after =
@@ -65,66 +68,68 @@
         Socket client = rig.connect()) {
       Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, Rig.look(Rig.id(), ""));
-      Rig.await("the first has it", () -> first.heads.size() == 1);
-      Thread leaving = rig.beginShutdown();
+      Rig.await("the first host has the request", () -> first.heads.size() == 1);
+      Thread shutdown = rig.beginShutdown();
       rig.configure(rig.config(160, after.address()));
       rig.gateway.reload(rig.environment);
       Rig.await("a watch at the new address", () -> after.watchesAnswered() == 1);
       rig.runLoopIterations();
       fail.countDown();
       assertThat(Rig.receive(client)).contains(" 200 ").endsWith("second");
-      leaving.join();
+      shutdown.join();
     }
   }
 
-  /** The connection to the host that drains comes up only after the news. */
+  /** The connection to the host is established only after the list reports that it drains. */
   @Test
-  void whatWaitsForAConnectionToAHostThatBeginsToDrainGoesElsewhere() throws Exception {
+  void sendsRequestElsewhereIfHostDrainsBeforeItsConnection() throws Exception {
     try (FullBacklogListener late = new FullBacklogListener();
-        FakeServer other = answering("other");
+        FakeServer other = respondingHost("other");
         FakeDiscovery discovery =
             new FakeDiscovery(Rig.list(1, true, Rig.entry(late.address(), READY)));
         Rig rig = new Rig(160, discovery.server);
         Socket client = rig.connect()) {
       Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       Rig.send(client, Rig.dispatch(Rig.id(), ""));
-      Rig.await("it is taken", () -> rig.metric("in_progress") == 1);
+      Rig.await("the request is accepted", () -> rig.metric("in_progress") == 1);
       rig.runLoopIterations();
       discovery.push(
           Rig.list(
-              2, false, Rig.entry(other.address(), READY), Rig.entry(late.address(), DRAINING)));
+              2, false, Rig.entry(other.address(), READY), Rig.entry(late.address(), TERMINATING)));
       assertThat(Rig.receive(client)).contains(" 200 ").endsWith("other");
       assertThat(late.acceptAndCountSenders()).isZero();
     }
   }
 
-  /** It is silent for longer than any call waits, and then speaks on whichever watch it likes. */
+  /** The agent is unresponsive for longer than any call waits, then sends on any of the watches. */
   @Test
-  void anAgentThatWasSilentIsHeardWhereverItSpeaksAgain() throws Exception {
-    try (FakeServer first = answering("first");
-        FakeServer second = answering("second");
+  void receivesListFromRecoveredAgentOnAnyWatch() throws Exception {
+    try (FakeServer first = respondingHost("first");
+        FakeServer second = respondingHost("second");
         FakeDiscovery discovery =
             new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), READY)));
         Rig rig = new Rig(160, discovery.server)) {
       Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       discovery.setUnresponsive(true);
-      Rig.await("others beside the silent watch", () -> discovery.server.heads.size() >= 8);
-      // Silence takes nothing away, and the watch that fell silent is there still.
-      assertThat(served(rig)).endsWith("first");
+      Rig.await(
+          "parallel watches beside the unresponsive one", () -> discovery.server.heads.size() >= 8);
+      // The list stays in use, and the unresponsive watch stays open.
+      assertThat(sendRequest(rig)).endsWith("first");
       assertThat(discovery.watchesAnswered()).isEqualTo(1);
       discovery.push(Rig.list(2, true, Rig.entry(second.address(), READY)));
-      Rig.await("the new list", () -> served(rig).endsWith("second"));
-      int calls = discovery.server.heads.size();
-      Rig.await("others beside it again", () -> discovery.server.heads.size() >= calls + 2);
+      Rig.await("the new list", () -> sendRequest(rig).endsWith("second"));
+      int watchCount = discovery.server.heads.size();
+      Rig.await("further parallel watches", () -> discovery.server.heads.size() >= watchCount + 2);
       discovery.replaceList(Rig.list(3, true, Rig.entry(first.address(), READY)));
       discovery.setUnresponsive(false);
-      Rig.await("told on a new watch", () -> served(rig).endsWith("first"));
+      Rig.await("the list from a new watch", () -> sendRequest(rig).endsWith("first"));
       discovery.push(Rig.list(4, true, Rig.entry(second.address(), READY)));
-      Rig.await("which took its place", () -> served(rig).endsWith("second"));
+      Rig.await(
+          "a list on the watch that replaced the first", () -> sendRequest(rig).endsWith("second"));
     }
   }
 
-  private static String served(Rig rig) {
+  private static String sendRequest(Rig rig) {
     try {
       return rig.request(Rig.look(Rig.id(), ""));
     } catch (java.io.IOException e) {
@@ -133,46 +138,46 @@
   }
 
   /**
-   * Where discovery is asked and a gateway may be without news for 20 minutes: a watch that fell
-   * silent is opened anew all the same, long before a part of those.
+   * With discovery on request and up to 20 minutes allowed between polls, an unresponsive watch is
+   * reopened long before any fraction of them.
    */
   @Test
-  void aSilentWatchIsOpenedAnewHoweverLongTheSettingsAllowForAsking() throws Exception {
-    try (FakeServer first = answering("first");
-        FakeServer second = answering("second");
-        FakeServer nobody = Rig.discovery(Rig.list(1));
+  void reopensUnresponsiveWatchDespiteLongPollInterval() throws Exception {
+    try (FakeServer first = respondingHost("first");
+        FakeServer second = respondingHost("second");
+        FakeServer initialDiscovery = Rig.discovery(Rig.list(1));
         FakeDiscovery discovery =
             new FakeDiscovery(Rig.list(1, true, Rig.entry(first.address(), READY)));
-        Rig rig = new Rig(160, nobody, ListEndingsTest::asked)) {
-      // The first call of a start is spread over those minutes; a new configuration calls at once.
-      rig.configure(asked(rig.config(160, discovery.address())));
+        Rig rig = new Rig(160, initialDiscovery, DiscoveryUpdatesTest::onRequest)) {
+      // The first call after a start is spread over those minutes; a reload calls at once.
+      rig.configure(onRequest(rig.config(160, discovery.address())));
       rig.gateway.reload(rig.environment);
       Rig.await("the list", () -> rig.metric("known_hosts") == 1);
       discovery.replaceList(Rig.list(2, true, Rig.entry(second.address(), READY)));
       Rig.await("another watch", () -> discovery.watchesAnswered() == 2);
-      Rig.await("the new list", () -> served(rig).endsWith("second"));
+      Rig.await("the new list", () -> sendRequest(rig).endsWith("second"));
     }
   }
 
-  private static String asked(String config) {
+  private static String onRequest(String config) {
     return config
         .replace("\"pushed\"", "\"on_request\"")
         .replace("\"must_ask_in\":10000", "\"must_ask_in\":1200000");
   }
 
-  /** Bytes that make no line are no sign of life: a watch that trickles is as good as silent. */
+  /** Bytes that complete no line do not count: a watch that receives only such is unresponsive. */
   @Test
-  void aWatchThatTricklesBytesAndNoLinesIsOpenedAnew() throws Exception {
-    try (FakeServer first = answering("first");
+  void reopensWatchThatReceivesNoCompleteLines() throws Exception {
+    try (FakeServer first = respondingHost("first");
         FakeServer discovery =
             new FakeServer(
                 (head, out) -> {
                   String list = Rig.list(1, true, Rig.entry(first.address(), READY)) + "\n";
                   FakeServer.respond(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                  chunk(out, list);
-                  chunk(out, "{\"index\":2,");
+                  sendChunk(out, list);
+                  sendChunk(out, "{\"index\":2,");
                   while (true) {
-                    chunk(out, " ");
+                    sendChunk(out, " ");
                     Thread.sleep(200);
                   }
                 });
@@ -182,7 +187,7 @@
     }
   }
 
-  private static void chunk(java.io.OutputStream out, String text) throws java.io.IOException {
+  private static void sendChunk(java.io.OutputStream out, String text) throws java.io.IOException {
     FakeServer.respond(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 }
--- a/src/test/java/hazelspoke/node/RepeatedAnswerTest.java
+++ b/src/test/java/hazelspoke/node/DuplicateResponseTest.java
@@ -28,8 +28,8 @@
 import ternscale.api.Outcome.Result;
 import ternscale.api.Settings;
 
-/** A host that writes an answer twice, the second copy a moment after the first. */
-class RepeatedAnswerTest {
+/** A host sends a response twice, the second copy shortly after the first. */
+class DuplicateResponseTest {
   private static final String HOST = "a";
   private static final String FIRST = "the first answer";
   private static final String SECOND = "the second answer";
@@ -70,7 +70,7 @@
     host.close();
   }
 
-  /** The second copy is on its way once the next request has come, wherever that comes. */
+  /** Sends the second copy on the first connection as soon as the next request arrives on any. */
   private boolean reply(String head, OutputStream out) throws Exception {
     if (firstConnection.compareAndSet(null, out)) {
       return FakeServer.respond(out, FakeServer.ok(FIRST));
@@ -80,27 +80,27 @@
   }
 
   @Test
-  void theSecondCopyIsNotTakenForTheNextAnswer() throws Exception {
+  void neverTakesDuplicateForNextResponse() throws Exception {
     assertThat(call()).isEqualTo(FIRST);
     assertThat(call()).isEqualTo(SECOND);
     assertThat(host.connections.get()).isEqualTo(2);
   }
 
   @Test
-  void aConnectionIsUsedAgainOnceNoSecondCopyCanCome() throws Exception {
+  void reusesConnectionOnceNoDuplicateCanArrive() throws Exception {
     assertThat(call()).isEqualTo(FIRST);
-    // Far longer than a copy takes, and far shorter than a connection may rest.
+    // Far longer than a copy takes and far shorter than the idle timeout.
     ticker.advance(IDLE_MS / 10, TimeUnit.MILLISECONDS);
     call();
     assertThat(host.connections.get()).isEqualTo(1);
   }
 
-  /** Asks the host once, and returns the body of its answer, or how else the call ended. */
+  /** Calls the host once and returns the body of its response, or the result of a failed call. */
   private String call() throws Exception {
     Call call = new Call();
     loop.execute(() -> hosts.start(HOST, call));
     String end = call.end.get(Rig.PATIENCE_MS, TimeUnit.MILLISECONDS);
-    // The connection is at rest when this has run: the loop keeps to the order of its tasks.
+    // The loop runs tasks in order, so the connection is idle once this ran.
     loop.submit(() -> {}).sync();
     return end;
   }
--- a/src/test/java/hazelspoke/node/FakeDiscovery.java
+++ b/src/test/java/hazelspoke/node/FakeDiscovery.java
@@ -7,29 +7,31 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A discovery whose watches a test goes on writing to, or that hears calls and says nothing. */
+/**
+ * A discovery server that pushes lists to its open watches, or accepts calls without responding.
+ */
 final class FakeDiscovery implements AutoCloseable {
   final FakeServer server;
   private final List<OutputStream> watches = new CopyOnWriteArrayList<>();
-  private final AtomicInteger told = new AtomicInteger();
+  private final AtomicInteger watchesAnswered = new AtomicInteger();
   private volatile String list;
-  private volatile boolean silent;
+  private volatile boolean unresponsive;
   private volatile boolean closed;
 
   FakeDiscovery(String list) throws IOException {
     this.list = list;
     server = new FakeServer(this::call);
-    Thread lines = new Thread(this::keepAlive);
-    lines.setDaemon(true);
-    lines.start();
+    Thread keepAliveThread = new Thread(this::keepAlive);
+    keepAliveThread.setDaemon(true);
+    keepAliveThread.start();
   }
 
-  /** While nothing changes an empty line comes now and then, unless it is silent. */
+  /** Sends an empty line to open watches every 500 ms unless it is unresponsive. */
   private void keepAlive() {
     try {
       while (!closed) {
         Thread.sleep(500);
-        if (!silent) {
+        if (!unresponsive) {
           push("");
         }
       }
@@ -39,11 +41,11 @@
   }
 
   private synchronized boolean call(String head, OutputStream out) throws IOException {
-    if (!silent) {
+    if (!unresponsive) {
       FakeServer.respond(
           out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list));
       watches.add(out);
-      told.incrementAndGet();
+      watchesAnswered.incrementAndGet();
     }
     return true;
   }
@@ -53,29 +55,29 @@
     return Integer.toHexString(length) + "\r\n" + line + "\n\r\n";
   }
 
-  /** How many watches were told the list at their beginning. */
+  /** Returns the number of watches that received the list when they were opened. */
   int watchesAnswered() {
-    return told.get();
+    return watchesAnswered.get();
   }
 
-  /** From now on calls are taken and not answered; or they are again. */
+  /** Sets whether calls are accepted but not answered. */
   void setUnresponsive(boolean on) {
-    silent = on;
+    unresponsive = on;
   }
 
-  /** What new watches are told first; those so far stay open and hear nothing any more. */
+  /** Replaces the list for new watches; existing watches stay open but receive nothing more. */
   synchronized void replaceList(String next) {
     list = next;
     watches.clear();
   }
 
-  /** Writes a line to whoever watches still. */
+  /** Writes a line to all open watches. */
   synchronized void push(String line) {
     for (OutputStream watch : watches) {
       try {
         FakeServer.respond(watch, chunk(line));
       } catch (IOException e) {
-        // That one watches no more.
+        // This watch was closed.
       }
     }
   }
--- a/src/test/java/hazelspoke/node/FakeServer.java
+++ b/src/test/java/hazelspoke/node/FakeServer.java
@@ -14,11 +14,13 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A host or a discovery on loopback: reads requests, and lets a test write what it likes. */
+/**
+ * A host or discovery server on loopback that reads requests and lets a test write the responses.
+ */
 final class FakeServer implements AutoCloseable {
-  /** What it does with one request, whose head is given; false closes the connection after it. */
+  /** Responds to one request with the given head; returns false to close the connection. */
   interface Reply {
-    boolean to(String head, OutputStream out) throws Exception;
+    boolean handle(String head, OutputStream out) throws Exception;
   }
 
   final List<byte[]> bodies = new CopyOnWriteArrayList<>();
@@ -44,7 +46,9 @@
     return true;
   }
 
-  /** Whether nobody listens there any more; a thread that accepts keeps a listener for a moment. */
+  /**
+   * Whether connections to the address are refused; an accepting thread delays a listener's close.
+   */
   static boolean refuses(String address) {
     int colon = address.indexOf(':');
     int port = Integer.parseInt(address.substring(colon + 1));
@@ -74,7 +78,7 @@
         daemon(() -> serve(socket));
       }
     } catch (IOException e) {
-      // Closed: the test is over.
+      // The listener was closed: the test has ended.
     }
   }
 
@@ -90,13 +94,13 @@
         byte[] body = body(in, head);
         bodies.add(body);
         heads.add(head);
-      } while (reply.to(head, socket.getOutputStream()));
+      } while (reply.handle(head, socket.getOutputStream()));
     } catch (Exception e) {
-      // The other side has gone, or the test is over.
+      // The peer disconnected, or the test has ended.
     }
   }
 
-  /** Reads up to and with the blank line; null at the end of the connection. */
+  /** Reads a head including its blank line; null at the end of the connection. */
   static String head(InputStream in) throws IOException {
     StringBuilder text = new StringBuilder();
     while (text.indexOf("\r\n\r\n") < 0) {
@@ -109,7 +113,7 @@
     return text.toString();
   }
 
-  /** Reads the body that belongs to a head, in either framing; fails when it ends too soon. */
+  /** Reads the body of a message with this head, in either framing; fails if it is truncated. */
   static byte[] body(InputStream in, String head) throws IOException {
     if (!head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked")) {
       byte[] body = in.readNBytes(contentLength(head));
--- a/src/test/java/hazelspoke/node/FirstListTest.java
+++ b/src/test/java/hazelspoke/node/InitialHostListTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A process that starts with an old list, beside an agent that pushes a newer one. */
-class FirstListTest {
+/** A gateway starts with an old configured list while an agent pushes a newer one. */
+class InitialHostListTest {
   private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-  private final CountDownLatch agentSpeaks = new CountDownLatch(1);
-  private volatile String told;
+  private final CountDownLatch agentResponds = new CountDownLatch(1);
+  private volatile String agentList;
   private FakeServer oldHost;
   private FakeServer newHost;
   private FakeServer agent;
@@ -36,8 +36,8 @@
     agent =
         new FakeServer(
             (head, out) -> {
-              Rig.awaitLatch(agentSpeaks);
-              return FakeServer.respond(out, chunked(told));
+              Rig.awaitLatch(agentResponds);
+              return FakeServer.respond(out, chunked(agentList));
             });
     file = Files.createTempFile("gateway", ".json");
     Files.writeString(
@@ -60,7 +60,7 @@
 
   @AfterEach
   void stop() throws Exception {
-    agentSpeaks.countDown();
+    agentResponds.countDown();
     gateway.drain();
     Files.delete(file);
     agent.close();
@@ -68,7 +68,7 @@
     oldHost.close();
   }
 
-  private Socket ask() throws Exception {
+  private Socket startAndSendRequest() throws Exception {
     InetSocketAddress address = (InetSocketAddress) gateway.start();
     Socket client = new Socket(address.getAddress(), address.getPort());
     client.setSoTimeout(Rig.PATIENCE_MS);
@@ -76,47 +76,46 @@
     return client;
   }
 
-  /** What the agent has counts as told from the first moment of a process. */
+  /** The gateway is expected to know the agent's list from the start of its process. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aRequestThatComesBeforeTheAgentIsHeardDoesNotGoByTheOldList(boolean wholeList)
-      throws Exception {
-    String oldDrains = Rig.entry(oldHost.address(), "Terminating");
-    told =
-        wholeList
-            ? Rig.list(2, true, oldDrains, Rig.entry(newHost.address(), "Ready"))
-            : Rig.list(2, false, oldDrains);
+  void holdsRequestUntilAgentSendsItsList(boolean isSnapshot) throws Exception {
+    String drainingOldHost = Rig.entry(oldHost.address(), "Terminating");
+    agentList =
+        isSnapshot
+            ? Rig.list(2, true, drainingOldHost, Rig.entry(newHost.address(), "Ready"))
+            : Rig.list(2, false, drainingOldHost);
     gateway.firstListTimeoutMs = Rig.PATIENCE_MS;
-    try (Socket client = ask()) {
+    try (Socket client = startAndSendRequest()) {
       Rig.await("a call to the agent", () -> agent.heads.size() > 0);
-      // The request is read by then, and what the module asks for is done.
+      // Enough iterations to read the request and to carry out the balancer's actions.
       for (int i = 0; i < 20; i++) {
         gateway.loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).sync();
       }
       assertThat(oldHost.heads).isEmpty();
       assertThat(newHost.heads).isEmpty();
-      agentSpeaks.countDown();
+      agentResponds.countDown();
       assertThat(Rig.receive(client)).contains(" 200 ").endsWith("new");
       assertThat(oldHost.heads).isEmpty();
     }
   }
 
-  /** Nothing has changed since the list of the configuration: that holds, at once. */
+  /** Without changes since the configured list, that list is used at once. */
   @Test
-  void anAgentWithNoChangesLeavesTheOldListInForce() throws Exception {
-    told = Rig.list(1, false);
+  void usesConfiguredListIfAgentHasNoChanges() throws Exception {
+    agentList = Rig.list(1, false);
     gateway.firstListTimeoutMs = Rig.PATIENCE_MS;
-    agentSpeaks.countDown();
-    try (Socket client = ask()) {
+    agentResponds.countDown();
+    try (Socket client = startAndSendRequest()) {
       assertThat(Rig.receive(client)).contains(" 200 ");
     }
   }
 
-  /** While discovery is down it learns nothing, and the old list is all that there is. */
+  /** While discovery is down, the configured list is used after a timeout. */
   @Test
-  void anAgentThatSaysNothingIsNotWaitedForForEver() throws Exception {
+  void usesConfiguredListIfAgentIsUnresponsive() throws Exception {
     gateway.firstListTimeoutMs = 1;
-    try (Socket client = ask()) {
+    try (Socket client = startAndSendRequest()) {
       assertThat(Rig.receive(client)).contains(" 200 ");
     }
   }
--- a/src/test/java/hazelspoke/node/BadClientsTest.java
+++ b/src/test/java/hazelspoke/node/InvalidRequestsTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients may send that no host should see. */
-class BadClientsTest {
-  private final CountDownLatch held = new CountDownLatch(1);
+/** Invalid requests and idle clients: they are rejected and reach no host. */
+class InvalidRequestsTest {
+  private final CountDownLatch release = new CountDownLatch(1);
   private FakeServer host;
   private FakeServer discovery;
   private Rig rig;
@@ -25,7 +25,7 @@
         new FakeServer(
             (head, out) -> {
               if (head.contains("X-Hold")) {
-                held.await();
+                release.await();
               }
               return FakeServer.respond(out, FakeServer.ok("made by the host"));
             });
@@ -35,14 +35,14 @@
 
   @AfterEach
   void stop() throws Exception {
-    held.countDown();
+    release.countDown();
     rig.close();
     host.close();
     discovery.close();
   }
 
   @Test
-  void aGoodRequestIsServedOnAConnectionThatStays() throws Exception {
+  void servesValidRequestsOnOneConnection() throws Exception {
     try (Socket client = rig.connect()) {
       for (int i = 0; i < 3; i++) {
         Rig.send(client, Rig.dispatch(Rig.id(), "Content-Length: 3\r\n") + "abc");
@@ -82,7 +82,7 @@
         "POST /dispatch HTTP/1.1\r\nno colon\r\nX-Lane: dispatch\r\nX-Txn: a\r\n\r\n",
         "\u0001\u0002 noise\r\n\r\n"
       })
-  void whatDoesNotFollowTheProtocolIsTurnedAwayAndClosed(String request) throws Exception {
+  void rejectsInvalidRequestAndCloses(String request) throws Exception {
     try (Socket client = rig.connect()) {
       Rig.send(client, request);
       assertThat(Rig.receive(client)).matches("(?s)HTTP/1.1 [45].*");
@@ -92,13 +92,13 @@
   }
 
   @Test
-  void theIdOfAnOpenRequestIsTurnedAwayAndTheOpenOneGoesOn() throws Exception {
+  void rejectsIdOfOpenRequestWithoutAffectingIt() throws Exception {
     String id = Rig.id();
     try (Socket first = rig.connect()) {
       Rig.send(first, Rig.dispatch(id, "X-Hold: 1\r\n"));
       Rig.await("the first request at the host", () -> host.heads.size() == 1);
       assertThat(rig.request(Rig.dispatch(id, ""))).startsWith("HTTP/1.1 409");
-      held.countDown();
+      release.countDown();
       assertThat(Rig.receive(first)).startsWith("HTTP/1.1 200");
     }
     assertThat(host.heads).hasSize(1);
@@ -106,53 +106,53 @@
   }
 
   @Test
-  void manyRequestsAtOnceAreNotServed() throws Exception {
+  void doesNotServePipelinedRequests() throws Exception {
     try (Socket client = rig.connect()) {
-      StringBuilder all = new StringBuilder();
+      StringBuilder requests = new StringBuilder();
       for (int i = 0; i < 100; i++) {
-        all.append(Rig.dispatch(Rig.id(), ""));
+        requests.append(Rig.dispatch(Rig.id(), ""));
       }
-      Rig.send(client, all.toString());
+      Rig.send(client, requests.toString());
       assertThat(Rig.receive(client)).startsWith("HTTP/1.1 400");
       assertThat(Rig.receive(client)).isNull();
     }
     assertThat(host.heads).hasSizeLessThan(2);
   }
 
-  /** Whether that one of many silent clients has begun a request. */
-  private static boolean isBegun(int client) {
+  /** Whether this one of many idle clients has begun a request. */
+  private static boolean hasBegunRequest(int client) {
     return client % 3 == 0;
   }
 
   @Test
-  void silentConnectionsNeitherStayNorKeepOthersOut() throws Exception {
-    List<Socket> silent = new ArrayList<>();
-    try (Socket resting = rig.connect()) {
-      Rig.send(resting, Rig.dispatch(Rig.id(), ""));
-      assertThat(Rig.receive(resting)).startsWith("HTTP/1.1 200");
+  void evictsIdleConnectionsForNewClients() throws Exception {
+    List<Socket> idle = new ArrayList<>();
+    try (Socket served = rig.connect()) {
+      Rig.send(served, Rig.dispatch(Rig.id(), ""));
+      assertThat(Rig.receive(served)).startsWith("HTTP/1.1 200");
       for (int i = 0; i < 300; i++) {
-        silent.add(rig.connect());
-        if (isBegun(i)) {
-          Rig.send(silent.get(i), "POST /dispatch HTTP/1.1\r\nX-Lane: disp");
+        idle.add(rig.connect());
+        if (hasBegunRequest(i)) {
+          Rig.send(idle.get(i), "POST /dispatch HTTP/1.1\r\nX-Lane: disp");
         }
       }
       assertThat(rig.request(Rig.dispatch(Rig.id(), ""))).startsWith("HTTP/1.1 200");
-      for (int i = 0; i < silent.size(); i++) {
-        if (isBegun(i)) {
-          // Room is made for others, or its time is over: it is told so.
-          assertThat(Rig.receive(silent.get(i))).matches("(?s)HTTP/1.1 (503|408) .*");
+      for (int i = 0; i < idle.size(); i++) {
+        if (hasBegunRequest(i)) {
+          // Evicted for others or timed out, in both cases with a response.
+          assertThat(Rig.receive(idle.get(i))).matches("(?s)HTTP/1.1 (503|408) .*");
         }
-        assertThat(Rig.receive(silent.get(i))).isNull();
+        assertThat(Rig.receive(idle.get(i))).isNull();
       }
     } finally {
-      for (Socket socket : silent) {
+      for (Socket socket : idle) {
         socket.close();
       }
     }
   }
 
   @Test
-  void halfARequestIsGivenUp() throws Exception {
+  void timesOutIncompleteRequest() throws Exception {
     try (Socket client = rig.connect()) {
       Rig.send(client, Rig.dispatch(Rig.id(), "Content-Length: 10\r\n") + "abc");
       assertThat(Rig.receive(client)).startsWith("HTTP/1.1 408");
--- a/src/test/java/hazelspoke/node/BadHostsTest.java
+++ b/src/test/java/hazelspoke/node/InvalidResponsesTest.java
@@ -10,16 +10,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What hosts may answer, whole, spoilt or with more to it. */
-class BadHostsTest {
-  private final AtomicReference<String> answer = new AtomicReference<>();
+/** Host responses that are malformed, truncated, or followed by surplus bytes. */
+class InvalidResponsesTest {
+  private final AtomicReference<String> response = new AtomicReference<>();
   private FakeServer host;
   private FakeServer discovery;
   private Rig rig;
 
   @BeforeEach
   void start() throws Exception {
-    host = new FakeServer((head, out) -> FakeServer.respond(out, answer.get()));
+    host = new FakeServer((head, out) -> FakeServer.respond(out, response.get()));
     discovery = Rig.discovery(Rig.list(2, host));
     rig = new Rig(160, discovery, host);
   }
@@ -31,7 +31,7 @@
     discovery.close();
   }
 
-  /** The connection stays open in all of these, and the deadline is far away. */
+  /** In all cases the connection stays open and the deadline is far away. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -46,19 +46,19 @@
         "HTTP/1.1 200 OK\r\nX-Half: ",
         "noise and no end of line",
       })
-  void aSpoiltAnswerFailsAtOnceAndIsNotTriedAgain(String spoilt) throws Exception {
-    answer.set(spoilt);
+  void failsMalformedResponseAtOnceWithoutRetry(String malformed) throws Exception {
+    response.set(malformed);
     assertThat(rig.request(Rig.dispatch(Rig.id(), ""))).startsWith("HTTP/1.1 502");
-    answer.set(FakeServer.ok("good"));
+    response.set(FakeServer.ok("good"));
     assertThat(host.heads).hasSize(1);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil", "noise", "\r\n\r\n"})
-  void whatComesBehindAnAnswerIsNeverTheNextOne(String more) throws Exception {
+  void neverTakesSurplusBytesForNextResponse(String surplus) throws Exception {
     try (Socket client = rig.connect()) {
       for (int i = 0; i < 5; i++) {
-        answer.set(FakeServer.ok("good" + i) + more);
+        response.set(FakeServer.ok("good" + i) + surplus);
         Rig.send(client, Rig.dispatch(Rig.id(), ""));
         assertThat(Rig.receive(client)).startsWith("HTTP/1.1 200").endsWith("good" + i);
       }
@@ -67,8 +67,8 @@
   }
 
   @Test
-  void informationAheadOfAnAnswerIsPassedOver() throws Exception {
-    answer.set(
+  void skipsInformationalResponses() throws Exception {
+    response.set(
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
             + FakeServer.ok("good"));
     assertThat(rig.request(Rig.dispatch(Rig.id(), ""))).endsWith("good");
--- a/src/test/java/hazelspoke/node/LastByteGateTest.java
+++ b/src/test/java/hazelspoke/node/LastByteGateTest.java
@@ -16,18 +16,19 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A request that must not run twice, on a connection that has carried another one: its last byte is
- * kept back for a moment. The host here is a plain socket that the test reads itself.
+ * A non-repeatable request on a reused connection, whose last byte is withheld for a moment: it is
+ * not sent if the client disconnects meanwhile. The host is a plain socket that the test reads
+ * itself.
  */
 class LastByteGateTest {
   private static final String BODY = "abc";
-  private static final String BODY_BUT_ITS_LAST_BYTE = "ab";
+  private static final String BODY_WITHOUT_LAST_BYTE = "ab";
 
   @ParameterizedTest
   @EnumSource
-  void theLastByteOfARequestWhoseClientHasLeftIsNotSent(
-      DisconnectedClientsTest.Disconnection disconnection) throws Exception {
-    CountDownLatch goOn = new CountDownLatch(1);
+  void withholdsLastByteIfClientDisconnects(DisconnectedClientsTest.Disconnection disconnection)
+      throws Exception {
+    CountDownLatch resumeLoop = new CountDownLatch(1);
     try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         FakeServer discovery = Rig.discovery(Rig.list(1, true, entry(listener)));
         Rig rig = new Rig(160, discovery);
@@ -43,38 +44,38 @@
         assertThat(Rig.receive(client)).endsWith("done");
         rig.awaitReusableConnections();
 
-        CountDownLatch standing = new CountDownLatch(1);
-        rig.gateway.loop.execute(() -> standStillOnceBytesHaveCome(rig, in, standing, goOn));
+        CountDownLatch loopStalled = new CountDownLatch(1);
+        rig.gateway.loop.execute(() -> stallOnceBytesHaveArrived(rig, in, loopStalled, resumeLoop));
         Rig.send(client, dispatch());
-        Rig.awaitLatch(standing);
+        Rig.awaitLatch(loopStalled);
         disconnection.apply(client);
-        goOn.countDown();
+        resumeLoop.countDown();
 
         String head = FakeServer.head(in);
         assertThat(head).startsWith("POST /dispatch");
-        assertThat(rest(in)).isEqualTo(BODY_BUT_ITS_LAST_BYTE);
+        assertThat(remainingBytes(in)).isEqualTo(BODY_WITHOUT_LAST_BYTE);
         assertThat(rig.metric("left.sent")).isZero();
         assertThat(rig.metric("left.waiting")).isEqualTo(1);
       }
     } finally {
-      goOn.countDown();
+      resumeLoop.countDown();
     }
   }
 
   /**
-   * Holds the loop up behind the turn that wrote to the host: looks every millisecond. What is
-   * written on loopback can be read at once, and the last byte follows after 2 ms and two more
-   * turns at the earliest; timers that are due together run in their order.
+   * Stalls the loop after the iteration that wrote to the host, by checking every millisecond.
+   * Bytes written on loopback are readable at once, and the last byte follows after 2 ms and two
+   * more iterations at the earliest; timers that are due together run in order.
    */
-  private static void standStillOnceBytesHaveCome(
-      Rig rig, InputStream in, CountDownLatch standing, CountDownLatch goOn) {
+  private static void stallOnceBytesHaveArrived(
+      Rig rig, InputStream in, CountDownLatch loopStalled, CountDownLatch resumeLoop) {
     try {
       if (in.available() > 0) {
-        standing.countDown();
-        Rig.awaitLatch(goOn);
+        loopStalled.countDown();
+        Rig.awaitLatch(resumeLoop);
       } else {
-        Runnable again = () -> standStillOnceBytesHaveCome(rig, in, standing, goOn);
-        rig.gateway.loop.schedule(again, 1, TimeUnit.MILLISECONDS);
+        Runnable checkAgain = () -> stallOnceBytesHaveArrived(rig, in, loopStalled, resumeLoop);
+        rig.gateway.loop.schedule(checkAgain, 1, TimeUnit.MILLISECONDS);
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -89,8 +90,8 @@
     return Rig.entry("127.0.0.1:" + listener.getLocalPort(), "Ready");
   }
 
-  /** All that still comes, to the end of the connection in whichever way. */
-  private static String rest(InputStream in) throws IOException {
+  /** Reads the remaining bytes until the connection ends or is reset. */
+  private static String remainingBytes(InputStream in) throws IOException {
     StringBuilder text = new StringBuilder();
     try {
       int next;
@@ -98,7 +99,7 @@
         text.append((char) next);
       }
     } catch (SocketException e) {
-      // Reset: what came before it was read.
+      // Reset: the bytes before it were read.
     }
     return text.toString();
   }
