--- a/src/test/java/hazelspoke/node/DuplicateResponseTest.java
+++ b/src/test/java/hazelspoke/node/DuplicateResponseTest.java
@@ -31,8 +31,8 @@
 /** A host sends a response twice, the second copy shortly after the first. */
 class DuplicateResponseTest {
   private static final String HOST = "a";
-  private static final String FIRST = "the first answer";
-  private static final String SECOND = "the second answer";
+  private static final String FIRST = "the first response";
+  private static final String SECOND = "the second response";
   private static final long IDLE_MS = 60_000;
 
   private final EventLoopGroup group =
--- a/src/test/java/hazelspoke/node/Rig.java
+++ b/src/test/java/hazelspoke/node/Rig.java
@@ -201,7 +201,7 @@
   Thread beginShutdown() throws Exception {
     Thread shutdown = new Thread(this::shutDown);
     shutdown.start();
-    await("told to leave", () -> log.toString().contains("taking leave"));
+    await("the shutdown begins", () -> log.toString().contains("taking leave"));
     CountDownLatch idleClosed = new CountDownLatch(1);
     // Timers run in order: the gateway's action at 500 ms has started by 700 ms, and is complete
     // once its sockets were read again.
