--- a/src/test/java/hazelspoke/core/DispatcherFixture.java
+++ b/src/test/java/hazelspoke/core/DispatcherFixture.java
@@ -19,14 +19,14 @@
 import ternscale.api.Settings.Effect;
 import ternscale.api.Settings.RequestClass;
 
-/** A dispatcher between a front and a back that speak no protocol, in time that is made here. */
+/** A dispatcher with a front end and a back end that use no protocol, under simulated time. */
 final class DispatcherFixture implements HostTransport, Discovery {
   static final double DEADLINE_MS = 1_000;
 
-  /** An asker; keeps what it was answered. */
+  /** A client that records its answers. */
   static final class RecordingClient implements Client {
     final List<Answer> answers = new ArrayList<>();
-    boolean gone;
+    boolean disconnected;
     Request request;
     Exchange exchange;
 
@@ -42,11 +42,11 @@
     }
   }
 
-  /** A call at a host, which ends as the test says. */
+  /** A call to a host, ended by the test. */
   final class Call implements CallHandle {
     final HostCall call;
     boolean sent;
-    boolean over;
+    boolean ended;
 
     Call(HostCall call) {
       this.call = call;
@@ -64,29 +64,29 @@
 
     @Override
     public void cancel() {
-      over = true;
+      ended = true;
       calls.remove(this);
     }
 
-    /** Writes it: what is asked has to be there still. */
+    /** Writes the call; its request must still be available. */
     void write() {
       if (!sent) {
         sent = true;
         if (call instanceof Attempt && call.request() == null) {
-          throw new AssertionError("something goes out for a request that has ended");
+          throw new AssertionError("a call was written for a request that has ended");
         }
         written.add(call.request());
-        remaining.add(call.remainingMs());
+        remainingTimesMs.add(call.remainingMs());
       }
     }
 
     void end(Result result) {
       calls.remove(this);
-      over = true;
+      ended = true;
       if (result == Result.OK) {
         write();
         Body body = new Body();
-        ByteBudget.Share share = answers.share(() -> {});
+        ByteBudget.Share share = responseBudget.share(() -> {});
         share.add(7);
         call.onAnswer(new Metadata(), "", body, share);
       } else {
@@ -98,16 +98,16 @@
   final MockTicker ticker = Ticker.newMockTicker();
   final EmbeddedChannel channel = EmbeddedChannel.builder().ticker(ticker).build();
   final ByteArrayOutputStream log = new ByteArrayOutputStream();
-  final ByteBudget bodies = new ByteBudget(1 << 20);
-  final ByteBudget answers = new ByteBudget(1 << 20);
+  final ByteBudget requestBudget = new ByteBudget(1 << 20);
+  final ByteBudget responseBudget = new ByteBudget(1 << 20);
   final List<Call> calls = new ArrayList<>();
   final List<Request> written = new ArrayList<>();
-  final List<Double> remaining = new ArrayList<>();
+  final List<Double> remainingTimesMs = new ArrayList<>();
   final Dispatcher dispatcher;
   final Clock clock = new Clock(ticker);
-  private int asked;
+  private int requestCount;
 
-  DispatcherFixture(int openCap, Function<Actions, Balancer> module) {
+  DispatcherFixture(int openCap, Function<Actions, Balancer> balancerFactory) {
     dispatcher =
         new Dispatcher(
             channel.eventLoop(),
@@ -118,7 +118,7 @@
             new Log(new PrintStream(log, true), clock),
             this,
             Meter.NONE);
-    dispatcher.start(module.apply(dispatcher), this);
+    dispatcher.start(balancerFactory.apply(dispatcher), this);
   }
 
   static Settings settings() {
@@ -146,14 +146,14 @@
         Settings.WeightMeaning.NONE);
   }
 
-  /** A request with a body, whole and handed over. */
-  RecordingClient ask() {
-    RecordingClient asker = new RecordingClient();
-    ByteBudget.Share share = bodies.share(() -> {});
+  /** Hands over a complete request with a body. */
+  RecordingClient sendRequest() {
+    RecordingClient client = new RecordingClient();
+    ByteBudget.Share share = requestBudget.share(() -> {});
     share.add(100);
     Request request =
         new Request(
-            "t" + asked++,
+            "t" + requestCount++,
             0,
             Effect.REPEATABLE,
             0,
@@ -164,27 +164,27 @@
             "/look",
             new Metadata(),
             new Body());
-    asker.request = request;
-    asker.exchange = new Exchange(request, asker, share);
-    dispatcher.onRequest(asker.exchange);
-    return asker;
+    client.request = request;
+    client.exchange = new Exchange(request, client, share);
+    dispatcher.onRequest(client.exchange);
+    return client;
   }
 
-  void leave(RecordingClient asker) {
-    asker.gone = true;
-    dispatcher.onClientDisconnected(asker.exchange);
+  void disconnect(RecordingClient client) {
+    client.disconnected = true;
+    dispatcher.onClientDisconnected(client.exchange);
   }
 
-  /** Lets time pass, step by step as a loop would. */
-  void pass(long ms) {
+  /** Advances the time in steps of 1 ms and runs the event loop after each. */
+  void advance(long ms) {
     for (long i = 0; i < ms; i++) {
       ticker.advanceMillis(1);
-      turn();
+      runLoop();
     }
   }
 
-  /** One turn of the loop, and those that follow from it at once. */
-  void turn() {
+  /** Runs the scheduled and pending tasks of the event loop. */
+  void runLoop() {
     channel.runScheduledPendingTasks();
     channel.runPendingTasks();
   }
