--- a/src/main/java/ternscale/api/HostEntry.java
+++ b/src/main/java/ternscale/api/HostEntry.java
@@ -2,16 +2,16 @@
 
 import java.util.Objects;
 
-/** One host as discovery lists it. {@code startedAt} of 0 means long ago. */
+/** One host as listed by discovery. A {@code startedAt} of 0 means that it started long ago. */
 public record HostEntry(
     String host,
     double weight,
-    int kind,
+    int hardwareType,
     int zone,
     int cell,
     Availability availability,
     double startedAt) {
-  /** Whether a host may be sent to. */
+  /** Whether a host accepts new requests. */
   public enum Availability {
     UP,
     DRAINING,
@@ -26,8 +26,8 @@
     }
   }
 
-  /** The same host with other news of whether it may be sent to. */
-  public HostEntry as(Availability now) {
-    return new HostEntry(host, weight, kind, zone, cell, now, startedAt);
+  /** This entry with another availability. */
+  public HostEntry withAvailability(Availability now) {
+    return new HostEntry(host, weight, hardwareType, zone, cell, now, startedAt);
   }
 }
--- a/src/main/java/ternscale/api/RequestInfo.java
+++ b/src/main/java/ternscale/api/RequestInfo.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 /**
- * A client request. {@code deadline} is the clock time at which the client gives this try up;
- * {@code costHint} is expected work in milliseconds on a standard core, 0 when there is none;
- * {@code key} may be null; {@code waitedMs} is for how long it lay unread, which its time includes.
+ * A client request. {@code deadline} is the time at which the client times out this attempt; {@code
+ * costHint} is the expected work in milliseconds on a standard core, 0 if unknown; {@code key} may
+ * be null; {@code readDelayMs} is how long it waited to be read, which counts towards its latency.
  */
 public record RequestInfo(
     String id,
@@ -14,10 +14,10 @@
     double deadline,
     double costHint,
     String key,
-    boolean write,
-    boolean clientRetry,
-    double waitedMs) {
-  /** One that was read as soon as it came. */
+    boolean isWrite,
+    boolean isClientRetry,
+    double readDelayMs) {
+  /** Creates a request that was read without delay. */
   public RequestInfo(
       String id,
       int requestClass,
@@ -25,9 +25,9 @@
       double deadline,
       double costHint,
       String key,
-      boolean write,
-      boolean clientRetry) {
-    this(id, requestClass, tenant, deadline, costHint, key, write, clientRetry, 0);
+      boolean isWrite,
+      boolean isClientRetry) {
+    this(id, requestClass, tenant, deadline, costHint, key, isWrite, isClientRetry, 0);
   }
 
   public RequestInfo {
--- a/src/test/java/ternscale/policy/DeparturesTest.java
+++ b/src/test/java/ternscale/policy/DeparturesTest.java
@@ -15,14 +15,14 @@
 import ternscale.api.Outcome.Result;
 import ternscale.api.RequestInfo;
 import ternscale.api.Settings;
+import ternscale.api.Settings.DedupScope;
 import ternscale.api.Settings.Discovery;
 import ternscale.api.Settings.Effect;
-import ternscale.api.Settings.Group;
 
 /** Each departure from LC*, and the failure it guards against, on the module alone. */
 class DeparturesTest {
   private static final Settings REPEATABLE =
-      Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, Group.ALL));
+      Gateway.settings(Discovery.PUSHED, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
 
   /** Serves requests one at a time for a while and counts them by host. */
   private static TreeMap<String, Integer> serve(Gateway g, int n, double gapMs) {
@@ -81,8 +81,8 @@
     Settings both =
         Gateway.settings(
             Discovery.PUSHED,
-            Gateway.type(Effect.REPEATABLE, Group.ALL),
-            Gateway.type(Effect.ONCE, Group.ALL));
+            Gateway.type(Effect.REPEATABLE, DedupScope.ALL),
+            Gateway.type(Effect.ONCE, DedupScope.ALL));
     Gateway g = new Gateway(both, 5);
     g.hosts(3);
     String id = g.request(0, 0);
@@ -135,7 +135,7 @@
 
   private static Settings.RequestClass worth(double worth) {
     return new Settings.RequestClass(
-        500, 0, 2000, worth, 0, Effect.REPEATABLE, Group.ALL, 0, false);
+        500, 0, 2000, worth, 0, Effect.REPEATABLE, DedupScope.ALL, 0, false);
   }
 
   /**
@@ -189,7 +189,8 @@
 
   /** The part of 2,000 requests that crosses, one at a time, when the own zone takes so long. */
   private static double crossed(double price, double ownMs, double otherMs) {
-    Gateway g = new Gateway(Gateway.crossing(price, Gateway.type(Effect.REPEATABLE, Group.ALL)), 7);
+    Gateway g =
+        new Gateway(Gateway.crossing(price, Gateway.type(Effect.REPEATABLE, DedupScope.ALL)), 7);
     g.hosts(8);
     int crossed = 0;
     for (int i = 0; i < 4_000; i++) {
@@ -216,7 +217,7 @@
     Settings.RequestClass cheap = worth(1);
     Settings.RequestClass dear = worth(2);
     int[] plain = jam(new Gateway(Gateway.settings(Discovery.PUSHED, cheap, dear), 5), 1_000, 0.7);
-    Settings goal = Gateway.goal(new Settings.Goal(.5, .2, .3, 0), cheap, dear);
+    Settings goal = Gateway.goal(new Settings.Objective(.5, .2, .3, 0), cheap, dear);
     int[] weighed = jam(new Gateway(goal, 5), 1_000, 0.7);
     assertThat(plain[1]).isLessThan(20);
     assertThat(weighed[0]).isLessThan(plain[0] - 50);
@@ -259,7 +260,7 @@
   @Test
   void gatewaysAgreeOnTheHostOfAKeyAndDoNotHerdWithoutKeys() {
     Settings keyed =
-        Gateway.settings(Discovery.PUSHED, true, Gateway.type(Effect.REPEATABLE, Group.ALL));
+        Gateway.settings(Discovery.PUSHED, true, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
     Set<String> forKey = new HashSet<>();
     Set<String> without = new HashSet<>();
     for (int seed = 0; seed < 20; seed++) {
@@ -279,7 +280,9 @@
   void discoveryIsAskedOnceAndBacksOffWhenItFails() {
     Gateway g =
         new Gateway(
-            Gateway.settings(Discovery.ON_REQUEST, Gateway.type(Effect.REPEATABLE, Group.ALL)), 5);
+            Gateway.settings(
+                Discovery.ON_REQUEST, Gateway.type(Effect.REPEATABLE, DedupScope.ALL)),
+            5);
     g.hosts(2);
     assertThat(g.log).contains("timer 1").doesNotContain("watch true");
     g.balancer.onTimer(g.now, Membership.TIMER);
@@ -400,7 +403,8 @@
   /** Refusals while seven answers in 25 are late, from clients that do or do not repeat. */
   private static long refusedWhileSomeAreLate(boolean repeats) {
     Settings marked =
-        Gateway.settings(Discovery.PUSHED, false, true, Gateway.type(Effect.REPEATABLE, Group.ALL));
+        Gateway.settings(
+            Discovery.PUSHED, false, true, Gateway.type(Effect.REPEATABLE, DedupScope.ALL));
     Gateway g = new Gateway(marked, 3);
     g.hosts(4);
     for (int i = 0; i < 1200; i++) {
