--- a/src/main/java/hazelspoke/operations/GatewayMetrics.java
+++ b/src/main/java/hazelspoke/operations/GatewayMetrics.java
@@ -15,13 +15,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * The figures of one process since its start. Counted on the loop; {@link #text} may be asked by
- * any thread.
+ * The metrics of one process since its start. Updated on the event loop; {@link #text} may be
+ * called from any thread.
  */
 public final class GatewayMetrics implements Meter {
   private static final String PREFIX = "svc.";
 
-  /** The counts of one class, whose place may change when others come and go. */
+  /** The counters of one class, whose index may change when classes are added or removed. */
   private record ClassCounters(Counter passed, Counter dropped, Counter badGateway) {
     void count(Answer.Outcome outcome) {
       switch (outcome) {
@@ -34,18 +34,18 @@
 
   private final MetricRegistry registry = new MetricRegistry();
   private final Counter inProgress = registry.counter("in_progress");
-  private final Counter tries = registry.counter("upstream_tries");
-  private final Counter leftSent = registry.counter("left.sent");
-  private final Counter leftWaiting = registry.counter("left.waiting");
-  private final Counter loads = registry.counter("loads");
-  private final Counter loadErrors = registry.counter("load_errors");
+  private final Counter upstreamTries = registry.counter("upstream_tries");
+  private final Counter disconnectedAfterSend = registry.counter("left.sent");
+  private final Counter disconnectedWaiting = registry.counter("left.waiting");
+  private final Counter reloads = registry.counter("loads");
+  private final Counter reloadErrors = registry.counter("load_errors");
   private final List<ClassCounters> classes = new ArrayList<>();
   private final Map<LateAnswer, Counter> late = new EnumMap<>(LateAnswer.class);
   private final Map<Violations.Kind, Counter> violations = new EnumMap<>(Violations.Kind.class);
   private volatile int knownHosts;
   private volatile int skippedHosts;
 
-  /** All at 0, for classes of these names, each at its place. */
+  /** Creates the metrics, all at 0, for classes with these names, by index. */
   public GatewayMetrics(List<String> classNames) {
     registry.register("known_hosts", (Gauge<Integer>) () -> knownHosts);
     registry.register("skipped_hosts", (Gauge<Integer>) () -> skippedHosts);
@@ -59,7 +59,7 @@
     setClasses(classNames);
   }
 
-  /** The classes are these from now on; one that was there before goes on from its counts. */
+  /** Replaces the classes; a class that existed before keeps its counts. */
   public void setClasses(List<String> names) {
     classes.clear();
     for (String name : names) {
@@ -85,12 +85,12 @@
   @Override
   public void gone(boolean sent) {
     inProgress.dec();
-    (sent ? leftSent : leftWaiting).inc();
+    (sent ? disconnectedAfterSend : disconnectedWaiting).inc();
   }
 
   @Override
   public void sent() {
-    tries.inc();
+    upstreamTries.inc();
   }
 
   @Override
@@ -103,33 +103,37 @@
     violations.get(kind).inc();
   }
 
-  /** Counts a file of new settings, taken or turned down. */
-  public void reloaded(boolean good) {
-    (good ? loads : loadErrors).inc();
+  /** Counts a reload of the settings, applied or rejected. */
+  public void reloaded(boolean succeeded) {
+    (succeeded ? reloads : reloadErrors).inc();
   }
 
-  /** Notes how many hosts are listed, and how many of these the gateway avoids now. */
+  /** Updates the number of listed hosts, and how many of these are skipped now. */
   public void setHostCounts(int known, int skipped) {
     knownHosts = known;
     skippedHosts = skipped;
   }
 
-  /** Another figure, asked for whenever the text is; it must not wait. */
+  /**
+   * Registers a gauge, which is read on each call of {@link #text}; {@code value} must not block.
+   */
   public void gauge(String name, LongSupplier value) {
     registry.register(name, (Gauge<Long>) value::getAsLong);
   }
 
-  /** A line for each figure, such as {@code svc.passed.reserve=812}, by name. */
+  /**
+   * Returns a appendLine for each metric, such as {@code svc.passed.reserve=812}, sorted by name.
+   */
   public String text() {
     StringBuilder text = new StringBuilder();
     for (Map.Entry<String, Counter> counter : registry.getCounters().entrySet()) {
-      line(text, counter.getKey(), counter.getValue().getCount());
+      appendLine(text, counter.getKey(), counter.getValue().getCount());
     }
-    registry.getGauges().forEach((name, gauge) -> line(text, name, gauge.getValue()));
+    registry.getGauges().forEach((name, gauge) -> appendLine(text, name, gauge.getValue()));
     return text.toString();
   }
 
-  private static void line(StringBuilder text, String name, Object value) {
+  private static void appendLine(StringBuilder text, String name, Object value) {
     text.append(PREFIX).append(name).append('=').append(value).append('\n');
   }
 }
--- a/src/main/java/hazelspoke/operations/ManagedGateway.java
+++ b/src/main/java/hazelspoke/operations/ManagedGateway.java
@@ -1,18 +1,18 @@
 package hazelspoke.operations;
 
-/** What of a gateway operators may ask and change. May be called from any thread. */
+/** The gateway as the management listener sees it. Methods may be called from any thread. */
 public interface ManagedGateway {
-  /** Whether this process takes clients. */
+  /** Returns whether this process accepts clients. */
   boolean isReady();
 
   /**
-   * Begins or ends a drain: while it lasts the gateway tells the front layer to send nobody new,
-   * and clients to go elsewhere. In force when this returns.
+   * Begins or ends a drain. While it lasts, the gateway asks the load balancer in front of it to
+   * send no new clients, and asks clients to reconnect elsewhere. In effect when this returns.
    *
-   * @return false if the gateway cannot, as it has not started yet or is leaving for good
+   * @return false if the gateway has not started yet or is shutting down
    */
   boolean setDraining(boolean on);
 
-  /** The figures, a line each. */
+  /** Returns the metrics, one line each. */
   String metrics();
 }
--- a/src/main/java/hazelspoke/operations/ManagementHandler.java
+++ b/src/main/java/hazelspoke/operations/ManagementHandler.java
@@ -14,7 +14,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** One call of an operator's: read whole, answered, and closed. */
+/** Serves one call on the management listener, then closes the connection. */
 final class ManagementHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
   private final ManagedGateway gateway;
 
@@ -23,68 +23,70 @@
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
-    if (call.decoderResult().isFailure()) {
-      answer(ctx, HttpResponseStatus.BAD_REQUEST, "this is no HTTP/1.1\n");
+  protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+    if (request.decoderResult().isFailure()) {
+      respond(ctx, HttpResponseStatus.BAD_REQUEST, "this is no HTTP/1.1\n");
       return;
     }
-    String path = call.uri().split("\\?", 2)[0];
+    String path = request.uri().split("\\?", 2)[0];
     switch (path) {
       case "/_ready" -> {
-        if (isBy(ctx, call, HttpMethod.GET)) {
-          answer(ctx, gateway.isReady(), "ready\n", "not ready\n");
+        if (checkMethod(ctx, request, HttpMethod.GET)) {
+          respond(ctx, gateway.isReady(), "ready\n", "not ready\n");
         }
       }
       case "/_vars" -> {
-        if (isBy(ctx, call, HttpMethod.GET)) {
-          answer(ctx, HttpResponseStatus.OK, gateway.metrics());
+        if (checkMethod(ctx, request, HttpMethod.GET)) {
+          respond(ctx, HttpResponseStatus.OK, gateway.metrics());
         }
       }
       case "/_lameduck/on" -> {
-        if (isBy(ctx, call, HttpMethod.POST)) {
-          answer(ctx, gateway.setDraining(true), "draining\n", "not serving\n");
+        if (checkMethod(ctx, request, HttpMethod.POST)) {
+          respond(ctx, gateway.setDraining(true), "draining\n", "not serving\n");
         }
       }
       case "/_lameduck/off" -> {
-        if (isBy(ctx, call, HttpMethod.POST)) {
-          answer(ctx, gateway.setDraining(false), "serving\n", "not serving\n");
+        if (checkMethod(ctx, request, HttpMethod.POST)) {
+          respond(ctx, gateway.setDraining(false), "serving\n", "not serving\n");
         }
       }
       default ->
-          answer(
+          respond(
               ctx,
               HttpResponseStatus.NOT_FOUND,
               "GET /_ready, GET /_vars, POST /_lameduck/on, POST /_lameduck/off\n");
     }
   }
 
-  private static boolean isBy(ChannelHandlerContext ctx, FullHttpRequest call, HttpMethod method) {
-    if (call.method().equals(method)) {
+  private static boolean checkMethod(
+      ChannelHandlerContext ctx, FullHttpRequest request, HttpMethod method) {
+    if (request.method().equals(method)) {
       return true;
     }
-    answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "this is called by " + method + "\n");
+    respond(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "this is called by " + method + "\n");
     return false;
   }
 
-  private static void answer(ChannelHandlerContext ctx, boolean yes, String ifYes, String ifNo) {
-    answer(
+  private static void respond(
+      ChannelHandlerContext ctx, boolean succeeded, String textOnSuccess, String textOnFailure) {
+    respond(
         ctx,
-        yes ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-        yes ? ifYes : ifNo);
+        succeeded ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+        succeeded ? textOnSuccess : textOnFailure);
   }
 
-  private static void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
+  private static void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
     ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), text);
-    FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-    answer
+    FullHttpResponse respond = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+    respond
         .headers()
         .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
         .set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
         .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+    ctx.writeAndFlush(respond).addListener(ChannelFutureListener.CLOSE);
   }
 
-  /** Silent for too long, or broken: nobody is left to answer. */
+  /** Read timeout or connection error: a response is no longer possible. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     ctx.close();
--- a/src/main/java/hazelspoke/operations/ManagementServer.java
+++ b/src/main/java/hazelspoke/operations/ManagementServer.java
@@ -19,39 +19,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Listens for operators on an address and a thread of its own, so that neither a busy loop nor a
- * flood of clients keeps them waiting. Callers who say nothing hold up nobody: there is room for
- * some, the longest of them makes room for the next, and all are given up after a while.
+ * HTTP listener for operators. It has its own address and thread, so that neither a busy event loop
+ * nor a flood of clients delays them. Idle callers block nobody: the number of connections is
+ * bounded, the oldest is closed in favor of a new one, and idle connections time out.
  */
 public final class ManagementServer implements AutoCloseable {
-  /** Callers at a time; the one that has been there longest makes room beyond. */
-  static final int MOST_CALLERS = 16;
+  /** Maximum number of connections; beyond it the oldest is closed. */
+  static final int MAX_CONNECTIONS = 16;
 
-  /** What this needs of descriptors: the callers, the listener, and what its loop waits on. */
-  public static final int DESCRIPTORS = MOST_CALLERS + 5;
+  /** File descriptors needed: the connections, the listener, and those of the event loop. */
+  public static final int DESCRIPTORS = MAX_CONNECTIONS + 5;
 
-  private static final int MOST_SILENT_S = 5;
-  private static final int MOST_LINE_BYTES = 1_024;
-  private static final int MOST_HEAD_BYTES = 8_192;
-  private static final int MOST_BODY_BYTES = 1_024;
+  private static final int IDLE_TIMEOUT_S = 5;
+  private static final int MAX_LINE_BYTES = 1_024;
+  private static final int MAX_HEAD_BYTES = 8_192;
+  private static final int MAX_BODY_BYTES = 1_024;
 
   private final EventLoopGroup group = EventLoops.daemon("management");
 
-  /** Who is connected, the longest first; the loop's thread alone touches it. */
-  private final Set<Channel> callers = new LinkedHashSet<>();
+  /** Open connections, oldest first; accessed on the event loop only. */
+  private final Set<Channel> connections = new LinkedHashSet<>();
 
   private final ManagedGateway gateway;
 
-  /** One for this gateway; it does not listen yet. */
+  /** Creates a server that does not listen yet. */
   public ManagementServer(ManagedGateway gateway) {
     this.gateway = gateway;
   }
 
   /**
-   * Begins to listen.
+   * Binds the listener.
    *
-   * @return where; of interest when the address left the port open
-   * @throws IllegalStateException when it cannot; the message is one line
+   * @return the bound address, with the chosen port if the given port is 0
+   * @throws IllegalStateException if the address cannot be bound; the message is one line
    */
   public InetSocketAddress listen(InetSocketAddress address) {
     ChannelFuture binding =
@@ -77,26 +77,26 @@
   }
 
   private void accept(Channel ch) {
-    while (callers.size() >= MOST_CALLERS) {
-      Channel longest = callers.iterator().next();
-      callers.remove(longest);
-      longest.close();
+    while (connections.size() >= MAX_CONNECTIONS) {
+      Channel oldest = connections.iterator().next();
+      connections.remove(oldest);
+      oldest.close();
     }
-    callers.add(ch);
-    ch.closeFuture().addListener(closed -> callers.remove(ch));
+    connections.add(ch);
+    ch.closeFuture().addListener(closed -> connections.remove(ch));
     HttpDecoderConfig limits =
         new HttpDecoderConfig()
-            .setMaxInitialLineLength(MOST_LINE_BYTES)
-            .setMaxHeaderSize(MOST_HEAD_BYTES);
+            .setMaxInitialLineLength(MAX_LINE_BYTES)
+            .setMaxHeaderSize(MAX_HEAD_BYTES);
     ch.pipeline()
         .addLast(
-            new ReadTimeoutHandler(MOST_SILENT_S, TimeUnit.SECONDS),
+            new ReadTimeoutHandler(IDLE_TIMEOUT_S, TimeUnit.SECONDS),
             new HttpServerCodec(limits),
-            new HttpObjectAggregator(MOST_BODY_BYTES, true),
+            new HttpObjectAggregator(MAX_BODY_BYTES, true),
             new ManagementHandler(gateway));
   }
 
-  /** Ends at once, with whatever is under way. */
+  /** Stops at once, without completing pending calls. */
   @Override
   public void close() {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
--- a/src/main/java/hazelspoke/operations/package-info.java
+++ b/src/main/java/hazelspoke/operations/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What operators see and do while a gateway serves: a listener of their own, the figures, the
- * drain. It has a thread of its own, as an operator needs an answer most when the loop is busy;
- * what it tells is counted on the loop and read without waiting for it. Nothing here is loaded
- * where no address for operators is set.
+ * The management interface of a running gateway: HTTP listener, metrics, drain. It runs on its own
+ * thread, as operators need a response most when the event loop is busy; the metrics are updated on
+ * the event loop and read without waiting for it. No class of this package is loaded if no
+ * management address is configured.
  */
 package hazelspoke.operations;
--- a/src/main/java/hazelspoke/takeover/ServingPidFile.java
+++ b/src/main/java/hazelspoke/takeover/ServingPidFile.java
@@ -7,14 +7,13 @@
 import java.util.function.LongPredicate;
 
 /**
- * The line of processes that serve at one address: whoever begins to serve writes its process id
- * into a file there, over that of the one before it. So the older one learns, when it is told to
- * leave, whether somebody serves on.
+ * A file with the id of the process that began last to serve at an address. Each process overwrites
+ * it when it begins to serve, so that an older process can tell at its shutdown whether a successor
+ * serves on.
  *
- * <p>The file is replaced in one move and never read half written. What stands in it may be as old
- * as the folder: a process that is no more does not count, and an id that the system has given to
- * another process since would be taken for a successor; then new connections are not waited for at
- * a leave, as if one were there.
+ * <p>The file is replaced atomically and never read half written. Its content may be outdated: a
+ * process that has ended does not count, but an id that the system has reused for another process
+ * is mistaken for a successor; the shutdown then does not wait for new connections.
  */
 public final class ServingPidFile {
   private final Path file;
@@ -22,10 +21,11 @@
   private final LongPredicate isAlive;
 
   /**
-   * One of the processes that share {@code folder} and serve at {@code address}.
+   * Creates the view of one of the processes that share {@code folder} and serve at {@code
+   * address}.
    *
-   * @param self its process id
-   * @param isAlive whether a process with this id runs
+   * @param self the id of this process
+   * @param isAlive returns whether a process with the given id is running
    */
   public ServingPidFile(Path folder, String address, long self, LongPredicate isAlive) {
     file = folder.resolve("pumicetray-" + address.replaceAll("[^A-Za-z0-9.]", "_") + ".serving");
@@ -33,7 +33,7 @@
     this.isAlive = isAlive;
   }
 
-  /** The running process, as above. */
+  /** Creates the view of the running process. */
   public static ServingPidFile ofThisProcess(Path folder, String address) {
     return new ServingPidFile(
         folder,
@@ -43,27 +43,29 @@
   }
 
   /**
-   * Notes that this process serves from now on.
+   * Records that this process has begun to serve.
    *
-   * @throws IOException if it cannot be written; then the one before leaves as if it were the last
+   * @throws IOException if the file cannot be written; the previous process then shuts down as if
+   *     it had no successor
    */
   public void claim() throws IOException {
-    Path own = file.resolveSibling(file.getFileName() + "." + self);
-    Files.writeString(own, Long.toString(self));
-    Files.move(own, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    Path temporary = file.resolveSibling(file.getFileName() + "." + self);
+    Files.writeString(temporary, Long.toString(self));
+    Files.move(
+        temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Whether another process serves already, asked before this one does. */
+  /** Returns whether another process serves already; called before {@link #claim}. */
   public boolean hasPredecessor() {
-    return isNewestAnother();
+    return isNewestAnotherProcess();
   }
 
-  /** Whether another process has begun to serve since this one did, and runs. */
+  /** Returns whether another, running process has begun to serve after this one. */
   public boolean hasSuccessor() {
-    return isNewestAnother();
+    return isNewestAnotherProcess();
   }
 
-  private boolean isNewestAnother() {
+  private boolean isNewestAnotherProcess() {
     try {
       long newest = Long.parseLong(Files.readString(file).trim());
       return newest != self && isAlive.test(newest);
--- a/src/main/java/hazelspoke/takeover/package-info.java
+++ b/src/main/java/hazelspoke/takeover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How one process of a gateway gives way to the next while both run: who of them is the newest at
- * an address, told through a file in the folder that they share. No sockets and no clock.
+ * Handover from one gateway process to its successor while both run: a file in a shared folder
+ * names the newest process on an address. Uses no sockets and no clock.
  */
 package hazelspoke.takeover;
