--- a/src/main/java/hazelspoke/config/OperatorConfig.java
+++ b/src/main/java/hazelspoke/config/OperatorConfig.java
@@ -21,18 +21,19 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * The operator's file, such as {@code deploy/pumicetray.toml}. What it does not name is off.
+ * The operator's file, such as {@code deploy/pumicetray.toml}. Features that it does not name are
+ * off.
  *
- * @param fleet null where there is no section of that name
+ * @param fleet null if there is no section of that name
  */
 public record OperatorConfig(FleetSettings fleet) {
-  /** Names the file. */
+  /** Environment variable with the path of the file. */
   public static final String VARIABLE = "PUMICETRAY_CONFIG";
 
-  /** Names the member, where all machines have the same file. */
+  /** Environment variable with the member's name, for a file that is the same on all machines. */
   public static final String SELF_VARIABLE = "PUMICETRAY_MEMBER";
 
-  /** Whether a machine's refusal ends a silent member's session. */
+  /** Whether a connection refused by a machine ends the session of an unresponsive member. */
   private enum Refusal {
     COUNTS,
     IGNORED
@@ -44,12 +45,12 @@
   /**
    * Reads the file.
    *
-   * @param environment may name the member
-   * @throws OperatorConfigException with all that is wrong
+   * @param environment may contain the member's name
+   * @throws OperatorConfigException with all errors in the file
    */
   public static OperatorConfig read(Path file, Map<String, String> environment)
       throws OperatorConfigException {
-    List<String> complaints = new ArrayList<>();
+    List<String> errors = new ArrayList<>();
     TomlParseResult parsed;
     try {
       parsed = Toml.parse(file);
@@ -59,18 +60,18 @@
               file + ": cannot be read: " + (Files.exists(file) ? e : "there is no such file")));
     }
     for (TomlParseError error : parsed.errors()) {
-      complaints.add(file + ":" + error.position().line() + ": " + error.getMessage());
+      errors.add(file + ":" + error.position().line() + ": " + error.getMessage());
     }
-    TomlSection top = new TomlSection(file.toString(), "", parsed, complaints);
+    TomlSection top = new TomlSection(file.toString(), "", parsed, errors);
     FleetSettings fleet = null;
-    if (complaints.isEmpty()) {
+    if (errors.isEmpty()) {
       if (top.has("fleet")) {
         fleet = fleet(file, top.section("fleet"), environment);
       }
-      top.noOthers();
+      top.rejectUnknownKeys();
     }
-    if (!complaints.isEmpty()) {
-      throw new OperatorConfigException(complaints);
+    if (!errors.isEmpty()) {
+      throw new OperatorConfigException(errors);
     }
     return new OperatorConfig(fleet);
   }
@@ -86,20 +87,20 @@
       }
     }
     if (members.keys().size() > FleetRecord.MOST_SESSIONS) {
-      in.complain("members", "are more than " + FleetRecord.MOST_SESSIONS);
+      in.error("members", "are more than " + FleetRecord.MOST_SESSIONS);
     }
-    unique(in, addresses);
+    checkUniqueAddresses(in, addresses);
     String self = environment.get(SELF_VARIABLE);
     if (self == null || in.has("self")) {
       self = in.text("self");
     }
-    isMember(in, "self", self, members.keys());
+    checkMember(in, "self", self, members.keys());
     List<String> voters = voters(in, members.keys());
     double termS = in.number("term_s", MemberSettings.USUAL_TERM_NANOS / NANOS_PER_S, 1, 600);
     double heartbeatMs =
         in.number("heartbeat_ms", MemberSettings.USUAL_HEARTBEAT_NANOS / NANOS_PER_MS, 20, 5_000);
     if (heartbeatMs * 8 > termS * 1_000) {
-      in.complain("heartbeat_ms", "a term has to be eight heartbeats or longer");
+      in.error("heartbeat_ms", "a term must be at least eight heartbeats");
     }
     MemberSettings member =
         new MemberSettings(
@@ -112,50 +113,54 @@
             in.number("drift", MemberSettings.USUAL_DRIFT, 0, 0.1),
             (long) (heartbeatMs * NANOS_PER_MS),
             (int) in.number("snapshot_every", MemberSettings.USUAL_SNAPSHOT_EVERY, 10, 1_000_000),
-            in.one("refusal", Refusal.COUNTS) == Refusal.COUNTS);
+            in.enumValue("refusal", Refusal.COUNTS) == Refusal.COUNTS);
     InetSocketAddress listen = in.has("listen") ? address(in, "listen") : addresses.get(self);
-    FleetSettings.Alone alone = in.one("alone", FleetSettings.Alone.SERVE);
+    FleetSettings.Alone alone = in.enumValue("alone", FleetSettings.Alone.SERVE);
     Path data = data(file, in);
-    in.noOthers();
+    in.rejectUnknownKeys();
     return new FleetSettings(member, addresses, listen, data, alone);
   }
 
   private static InetSocketAddress address(TomlSection in, String key) {
     InetSocketAddress address = Addresses.parse(in.text(key));
     if (address == null) {
-      in.complain(key, "expected an address in figures and a port, such as 10.0.0.4:7400");
+      in.error(key, "expected a numeric address and a port, such as 10.0.0.4:7400");
     }
     return address;
   }
 
-  private static void unique(TomlSection in, Map<String, InetSocketAddress> addresses) {
+  private static void checkUniqueAddresses(
+      TomlSection in, Map<String, InetSocketAddress> addresses) {
     Set<InetSocketAddress> seen = new HashSet<>();
     addresses.forEach(
         (member, address) -> {
           if (!seen.add(address)) {
-            in.complain("members", "two have the address " + Addresses.text(address));
+            in.error("members", "two members have the address " + Addresses.text(address));
           }
         });
   }
 
-  private static void isMember(TomlSection in, String key, String name, Set<String> members) {
+  private static void checkMember(TomlSection in, String key, String name, Set<String> members) {
     if (!name.isEmpty() && !members.contains(name)) {
-      String near = TomlSection.near(name, members);
-      in.complain(
-          key, "there is no member " + name + (near == null ? "" : "; did you mean " + near + "?"));
+      String closest = TomlSection.closest(name, members);
+      in.error(
+          key,
+          "there is no member "
+              + name
+              + (closest == null ? "" : "; did you mean " + closest + "?"));
     }
   }
 
   private static List<String> voters(TomlSection in, Set<String> members) {
-    List<String> voters = in.texts("voters");
+    List<String> voters = in.strings("voters");
     for (String voter : voters) {
-      isMember(in, "voters", voter, members);
+      checkMember(in, "voters", voter, members);
     }
-    Set<String> different = new HashSet<>(voters);
-    if (different.size() != voters.size()) {
-      in.complain("voters", "one is named twice");
+    Set<String> distinct = new HashSet<>(voters);
+    if (distinct.size() != voters.size()) {
+      in.error("voters", "one is named twice");
     } else if (!voters.isEmpty() && (voters.size() % 2 == 0 || voters.size() > 7)) {
-      in.complain("voters", "expected 1, 3, 5 or 7: an even number bears no more losses");
+      in.error("voters", "expected 1, 3, 5 or 7: an even number tolerates no more failures");
     }
     return voters;
   }
@@ -166,7 +171,7 @@
       Path folder = file.toAbsolutePath().getParent();
       return folder.resolve(text).normalize();
     } catch (InvalidPathException e) {
-      in.complain("data", "is no path: " + e.getReason());
+      in.error("data", "is not a path: " + e.getReason());
       return Path.of("");
     }
   }
--- a/src/main/java/hazelspoke/config/OperatorConfigException.java
+++ b/src/main/java/hazelspoke/config/OperatorConfigException.java
@@ -2,19 +2,19 @@
 
 import java.util.List;
 
-/** A file that cannot be used; one line for each complaint. */
+/** Signals an invalid operator's file, with one line for each error. */
 public final class OperatorConfigException extends Exception {
   private static final long serialVersionUID = 1;
 
-  private final transient List<String> complaints;
+  private final transient List<String> errors;
 
-  OperatorConfigException(List<String> complaints) {
-    super(String.join("; ", complaints));
-    this.complaints = List.copyOf(complaints);
+  OperatorConfigException(List<String> errors) {
+    super(String.join("; ", errors));
+    this.errors = List.copyOf(errors);
   }
 
-  /** Each with file, line and key. */
+  /** Returns the errors, each with file, line and key. */
   public List<String> errors() {
-    return complaints;
+    return errors;
   }
 }
--- a/src/main/java/hazelspoke/config/TomlSection.java
+++ b/src/main/java/hazelspoke/config/TomlSection.java
@@ -11,29 +11,29 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of the file. Complaints are gathered, so that all are told at once; where there is one
- * the value returned is the one that was to be there in its absence.
+ * One table of the file. Errors are collected, so that all are reported together; after an error
+ * the default value is returned.
  */
 final class TomlSection {
-  private static final int NEAR = 2;
+  private static final int MAX_EDIT_DISTANCE = 2;
 
   private final String file;
   private final String path;
   private final TomlTable table;
-  private final List<String> complaints;
-  private final Set<String> known = new LinkedHashSet<>();
+  private final List<String> errors;
+  private final Set<String> readKeys = new LinkedHashSet<>();
 
-  TomlSection(String file, String path, TomlTable table, List<String> complaints) {
+  TomlSection(String file, String path, TomlTable table, List<String> errors) {
     this.file = file;
     this.path = path;
     this.table = table;
-    this.complaints = complaints;
+    this.errors = errors;
   }
 
-  void complain(String key, String what) {
+  void error(String key, String what) {
     TomlPosition at = table.inputPositionOf(List.of(key));
     String line = at == null ? "" : ":" + at.line();
-    complaints.add(file + line + ": " + (path.isEmpty() ? key : path + "." + key) + ": " + what);
+    errors.add(file + line + ": " + (path.isEmpty() ? key : path + "." + key) + ": " + what);
   }
 
   Set<String> keys() {
@@ -41,111 +41,111 @@
   }
 
   boolean has(String key) {
-    known.add(key);
+    readKeys.add(key);
     return table.contains(List.of(key));
   }
 
-  /** A table in this one; an empty one where there is none. */
+  /** Returns the nested table; an empty one, with an error, if there is none. */
   TomlSection section(String key) {
     Object value = has(key) ? table.get(List.of(key)) : null;
-    String its = path.isEmpty() ? key : path + "." + key;
+    String nestedPath = path.isEmpty() ? key : path + "." + key;
     if (value instanceof TomlTable inner) {
-      return new TomlSection(file, its, inner, complaints);
+      return new TomlSection(file, nestedPath, inner, errors);
     }
-    complain(key, "expected a table, [" + its + "]");
-    return new TomlSection(file, its, Toml.parse(""), complaints);
+    error(key, "expected a table, [" + nestedPath + "]");
+    return new TomlSection(file, nestedPath, Toml.parse(""), errors);
   }
 
-  /** A text that must be given and not be empty. */
+  /** Returns a required, non-empty string. */
   String text(String key) {
     if (has(key) && table.get(List.of(key)) instanceof String text && !text.isBlank()) {
       return text;
     }
-    complain(key, has(key) ? "expected a text that is not empty" : "is missing");
+    error(key, has(key) ? "expected a non-empty string" : "is missing");
     return "";
   }
 
-  String text(String key, String absent) {
-    return has(key) ? text(key) : absent;
+  String text(String key, String defaultValue) {
+    return has(key) ? text(key) : defaultValue;
   }
 
-  /** One of the names of an enum, in small letters. */
-  <E extends Enum<E>> E one(String key, E absent) {
+  /** Returns the enum constant whose name in lower case is the value. */
+  <E extends Enum<E>> E enumValue(String key, E defaultValue) {
     if (!has(key)) {
-      return absent;
+      return defaultValue;
     }
     String text = text(key);
     List<String> names = new ArrayList<>();
-    for (E value : absent.getDeclaringClass().getEnumConstants()) {
+    for (E value : defaultValue.getDeclaringClass().getEnumConstants()) {
       String name = value.name().toLowerCase(Locale.ROOT);
       if (name.equals(text)) {
         return value;
       }
       names.add("\"" + name + "\"");
     }
-    complain(key, "expected " + String.join(" or ", names));
-    return absent;
+    error(key, "expected " + String.join(" or ", names));
+    return defaultValue;
   }
 
-  double number(String key, double absent, double least, double most) {
+  double number(String key, double defaultValue, double min, double max) {
     if (!has(key)) {
-      return absent;
+      return defaultValue;
     }
     Object value = table.get(List.of(key));
     double number = value instanceof Number n ? n.doubleValue() : Double.NaN;
-    if (number >= least && number <= most) {
+    if (number >= min && number <= max) {
       return number;
     }
-    complain(key, "expected a number from " + plain(least) + " to " + plain(most));
-    return absent;
+    error(key, "expected a number from " + format(min) + " to " + format(max));
+    return defaultValue;
   }
 
-  private static String plain(double number) {
+  private static String format(double number) {
     return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
   }
 
-  /** Texts; empty where they are missing, with a complaint. */
-  List<String> texts(String key) {
+  /** Returns a list of non-empty strings; empty, with an error, if it is missing. */
+  List<String> strings(String key) {
     List<String> out = new ArrayList<>();
     if (has(key) && table.get(List.of(key)) instanceof TomlArray array) {
       for (int i = 0; i < array.size(); i++) {
         if (array.get(i) instanceof String text && !text.isBlank()) {
           out.add(text);
         } else {
-          complain(key, "expected texts that are not empty");
+          error(key, "expected non-empty strings");
         }
       }
       return out;
     }
-    complain(key, has(key) ? "expected a list of texts" : "is missing");
+    error(key, has(key) ? "expected a list of strings" : "is missing");
     return out;
   }
 
-  /** Complains of every key that nobody has asked for. */
-  void noOthers() {
+  /** Reports an error for every key that was not read. */
+  void rejectUnknownKeys() {
     for (String key : table.keySet()) {
-      if (!known.contains(key)) {
-        String near = near(key, known);
-        complain(key, "is unknown" + (near == null ? "" : "; did you mean " + near + "?"));
+      if (!readKeys.contains(key)) {
+        String closest = closest(key, readKeys);
+        error(key, "is unknown" + (closest == null ? "" : "; did you mean " + closest + "?"));
       }
     }
   }
 
-  /** The one of some names that is nearest to another, if it is near at all; else null. */
-  static String near(String name, Iterable<String> names) {
+  /** Returns the max similar of some names within {@link #MAX_EDIT_DISTANCE}, or null. */
+  static String closest(String name, Iterable<String> names) {
     String best = null;
-    int least = NEAR + 1;
+    int min = MAX_EDIT_DISTANCE + 1;
     for (String other : names) {
-      int far = distance(name, other);
-      if (far < least) {
-        least = far;
+      int distance = distance(name, other);
+      if (distance < min) {
+        min = distance;
         best = other;
       }
     }
     return best;
   }
 
-  /** Levenshtein's. */
+  /** Returns the Levenshtein distance. */
   private static int distance(String a, String b) {
     int[] row = new int[b.length() + 1];
     for (int j = 0; j <= b.length(); j++) {
--- a/src/main/java/hazelspoke/config/package-info.java
+++ b/src/main/java/hazelspoke/config/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's own file: read and checked as a whole, every complaint with its place. */
+/** Reads and validates the operator's file and reports all errors with their positions. */
 package hazelspoke.config;
