--- a/src/main/java/hazelspoke/node/ClassArchive.java
+++ b/src/main/java/hazelspoke/node/ClassArchive.java
@@ -14,9 +14,10 @@
 import java.util.Map;
 
 /**
- * A short run at build time, from which the JVM keeps the classes that a gateway loads: with half a
- * core, loading them anew takes the first second of traffic. The gateway is its own client and its
- * own host, all on loopback; that its answers are refusals does not matter.
+ * Training run for the JVM's class archive (AppCDS), done at build time. Without the archive,
+ * loading classes on half a core takes the first second of traffic. One gateway serves as the host
+ * of another, and this process is the client, all on loopback. The responses are rejections, which
+ * does not matter for class loading.
  */
 public final class ClassArchive {
   private static final int REQUESTS = 5;
@@ -51,23 +52,23 @@
 
   private ClassArchive() {}
 
-  /** Runs it; returns 1 if it could not be done. */
+  /** Performs the training run; returns the exit status, 1 if the run failed. */
   public static int run(PrintStream err) {
     try {
-      Path file = Files.createTempFile("archive", ".json");
+      Path configFile = Files.createTempFile("archive", ".json");
       try {
-        Gateway first = start(file, 1, err);
+        Gateway first = start(configFile, 1, err);
         InetSocketAddress host = (InetSocketAddress) first.start();
-        Gateway second = start(file, host.getPort(), err);
+        Gateway second = start(configFile, host.getPort(), err);
         InetSocketAddress operators = second.openManagement();
-        ask((InetSocketAddress) second.start());
-        call(operators, "GET /_ready HTTP/1.1\r\n\r\n");
-        call(operators, "GET /_vars HTTP/1.1\r\n\r\n");
+        sendRequests((InetSocketAddress) second.start());
+        sendAndAwaitResponse(operators, "GET /_ready HTTP/1.1\r\n\r\n");
+        sendAndAwaitResponse(operators, "GET /_vars HTTP/1.1\r\n\r\n");
         second.drain();
         first.drain();
-        warmUp(file, err);
+        warmUp(configFile, err);
       } finally {
-        Files.delete(file);
+        Files.delete(configFile);
       }
       return 0;
     } catch (IOException | ConfigException | IllegalStateException e) {
@@ -76,26 +77,27 @@
     }
   }
 
-  private static void warmUp(Path file, PrintStream err) throws ConfigException {
-    Map<String, String> environment = Map.of("NODE_CONFIG", file.toString());
+  private static void warmUp(Path configFile, PrintStream err) throws ConfigException {
+    Map<String, String> environment = Map.of("NODE_CONFIG", configFile.toString());
     new WarmUp(GatewayConfig.read(environment), environment)
-        .run(new Log(err, new Clock()), WarmUp.MOST_MS);
+        .run(new Log(err, new Clock()), WarmUp.MAX_MS);
   }
 
-  private static Gateway start(Path file, int hostPort, PrintStream err)
+  private static Gateway start(Path configFile, int hostPort, PrintStream err)
       throws IOException, ConfigException {
-    Files.writeString(file, CONFIG.formatted(hostPort));
+    Files.writeString(configFile, CONFIG.formatted(hostPort));
     return new Gateway(
-        GatewayConfig.read(Map.of("NODE_CONFIG", file.toString())), err, Transport.TCP);
+        GatewayConfig.read(Map.of("NODE_CONFIG", configFile.toString())), err, Transport.TCP);
   }
 
-  private static void ask(InetSocketAddress gateway) throws IOException {
+  private static void sendRequests(InetSocketAddress gateway) throws IOException {
     for (int i = 0; i < REQUESTS; i++) {
-      call(gateway, REQUEST.formatted(i, i));
+      sendAndAwaitResponse(gateway, REQUEST.formatted(i, i));
     }
   }
 
-  private static void call(InetSocketAddress address, String request) throws IOException {
+  private static void sendAndAwaitResponse(InetSocketAddress address, String request)
+      throws IOException {
     try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       OutputStream out = socket.getOutputStream();
       out.write(request.getBytes(StandardCharsets.US_ASCII));
--- a/src/main/java/hazelspoke/node/FileWatcher.java
+++ b/src/main/java/hazelspoke/node/FileWatcher.java
@@ -7,41 +7,47 @@
 import java.util.Map;
 
 /**
- * Notices that a file was changed, replaced or removed, by a look at its attributes now and then.
- * One that is being written is left alone until it stands still from one look to the next.
+ * Detects by polling the file's attributes that a file was changed, replaced or removed. A change
+ * is reported only once the attributes are the same in two consecutive polls, so that a file that
+ * is still being written is not read.
  */
 final class FileWatcher {
-  /** How often to look, in ms: a change is noticed within two of these. */
-  static final long EVERY_MS = 100;
+  /** Poll interval; a change is detected within two intervals after the last write. */
+  static final long POLL_INTERVAL_MS = 100;
 
   private final String file;
-  private Map<String, Object> taken;
-  private Map<String, Object> seen;
+  private Map<String, Object> reported;
+  private Map<String, Object> lastPolled;
 
   /**
-   * Counts as changed what differs from now on.
+   * Takes the present state of the file as the baseline.
    *
-   * @param file its path; null and what is no path stand for a file that is missing
+   * @param file path of the file; null or an invalid path is treated as a missing file
    */
   FileWatcher(String file) {
     this.file = file;
-    taken = attributes();
-    seen = taken;
+    reported = attributes();
+    lastPolled = reported;
   }
 
-  /** Whether it has changed since this last said so, and stood still since the last look. */
+  /**
+   * Returns whether the file differs from the last reported state and is unchanged since the last
+   * poll.
+   */
   boolean hasChanged() {
     Map<String, Object> now = attributes();
-    boolean still = now.equals(seen);
-    seen = now;
-    if (!still || now.equals(taken)) {
+    boolean isStable = now.equals(lastPolled);
+    lastPolled = now;
+    if (!isStable || now.equals(reported)) {
       return false;
     }
-    taken = now;
+    reported = now;
     return true;
   }
 
-  /** None of a file that is missing. The time of its last change of any kind cannot be set back. */
+  /**
+   * Returns no attributes for a missing file. The ctime is included because it cannot be set back.
+   */
   private Map<String, Object> attributes() {
     try {
       return file == null
--- a/src/main/java/hazelspoke/node/FleetMembership.java
+++ b/src/main/java/hazelspoke/node/FleetMembership.java
@@ -9,29 +9,29 @@
 import java.util.function.Consumer;
 
 /**
- * A gateway's membership of its fleet. Without the operator's file neither this class nor anything
- * behind it is loaded.
+ * A gateway's membership of its fleet. Without an operator's file, neither this class nor the
+ * classes it depends on are loaded.
  */
 final class FleetMembership {
-  /** What its thread and its connections need of the descriptors there are, with 7 voters. */
+  /** File descriptors that the member's thread and connections need with 7 voters. */
   static final int DESCRIPTORS = 40;
 
-  private static final long LEAVE_MS = 400;
-  private static final long TELL_EVERY_MS = 5_000;
+  private static final long LEAVE_TIMEOUT_MS = 400;
+  private static final long LOG_INTERVAL_MS = 5_000;
 
   private final FleetNode node;
-  private final boolean leavesAlone;
+  private final boolean drainsWhenPartitioned;
 
-  private FleetMembership(FleetNode node, boolean leavesAlone) {
+  private FleetMembership(FleetNode node, boolean drainsWhenPartitioned) {
     this.node = node;
-    this.leavesAlone = leavesAlone;
+    this.drainsWhenPartitioned = drainsWhenPartitioned;
   }
 
   /**
    * Reads the operator's file.
    *
-   * @return null where it says nothing of a fleet
-   * @throws ConfigException with a line for each complaint
+   * @return the settings, or null if the file has no fleet section
+   * @throws ConfigException with one line for each error
    */
   static FleetSettings read(String file, Map<String, String> environment) throws ConfigException {
     try {
@@ -42,18 +42,24 @@
   }
 
   /**
-   * Begins to belong.
+   * Starts the member.
    *
-   * @throws IllegalStateException if that cannot be
+   * @param onStatusChange runs on the fleet's thread when the validity of the session has changed
+   * @throws IllegalStateException if the member cannot start
    */
-  static FleetMembership open(FleetSettings settings, Consumer<String> log, Runnable standing) {
+  static FleetMembership open(
+      FleetSettings settings, Consumer<String> log, Runnable onStatusChange) {
     return new FleetMembership(
-        FleetNode.open(settings, log, standing), settings.alone() == FleetSettings.Alone.LEAVE);
+        FleetNode.open(settings, log, onStatusChange),
+        settings.alone() == FleetSettings.Alone.LEAVE);
   }
 
-  /** Returns once the record was read, as of now or later; a gateway is not ready before. */
+  /**
+   * Blocks until the record, as of this call or later, has been read; a gateway is not ready
+   * before.
+   */
   void awaitJoined(Consumer<String> log) {
-    long told = System.nanoTime();
+    long lastLoggedNanos = System.nanoTime();
     while (!node.hasJoined()) {
       try {
         Thread.sleep(10);
@@ -61,19 +67,20 @@
         Thread.currentThread().interrupt();
         throw new IllegalStateException("interrupted while waiting for the fleet's record", e);
       }
-      if (System.nanoTime() - told > TELL_EVERY_MS * 1_000_000) {
-        told = System.nanoTime();
-        log.accept("not ready: waits for the fleet's record, which needs a majority of its voters");
+      if (System.nanoTime() - lastLoggedNanos > LOG_INTERVAL_MS * 1_000_000) {
+        lastLoggedNanos = System.nanoTime();
+        log.accept(
+            "not ready: waiting for the fleet's record, which needs a majority of its voters");
       }
     }
   }
 
-  /** Whether it is to take nobody new, as it is past its term and was told to leave then. */
+  /** Returns whether the session is not valid and the settings ask for a drain in that case. */
   boolean isDraining() {
-    return leavesAlone && !node.holds();
+    return drainsWhenPartitioned && !node.holds();
   }
 
-  /** What operators see of it among the other figures. */
+  /** Registers the fleet's gauges. */
   void registerMetrics(Management management) {
     management.gauge("fleet.joined", () -> node.hasJoined() ? 1 : 0);
     management.gauge("fleet.holds", () -> node.holds() ? 1 : 0);
@@ -81,9 +88,9 @@
     management.gauge("fleet.index", node::index);
   }
 
-  /** Goes for good. */
+  /** Ends the session permanently, before this process shuts down. */
   void leave() {
-    node.leave(LEAVE_MS);
+    node.leave(LEAVE_TIMEOUT_MS);
   }
 
   void close() {
--- a/src/main/java/hazelspoke/node/Gateway.java
+++ b/src/main/java/hazelspoke/node/Gateway.java
@@ -35,46 +35,51 @@
 import ternscale.api.Settings;
 import ternscale.policy.LcStarBalancer;
 
-/** One gateway: its parts, all on one event loop, from the start to the drain after SIGTERM. */
+/**
+ * One gateway: its components, all on one event loop, from the start to the drain after SIGTERM.
+ */
 public final class Gateway {
-  /** Sockets for hosts, as a part of what is not for others; clients get the rest. */
-  private static final double HOST_PART = 0.4;
+  /**
+   * Share of the descriptors for connections to hosts; connections of clients get the remainder.
+   */
+  private static final double HOST_SOCKET_SHARE = 0.4;
 
-  /** Descriptors for what is neither: the JVM's files, discovery, the listener, and some slack. */
+  /** Descriptors for all else: the JVM's files, discovery, the listener, and a reserve. */
   private static final int OTHER_DESCRIPTORS = 56;
 
-  /** Bodies of requests held at once, besides the one that may always be completed. */
-  private static final long BODY_BYTES = 6L << 20;
+  /** Budget for buffered request bodies; one body may always be completed beyond it. */
+  private static final long MAX_BUFFERED_REQUEST_BYTES = 6L << 20;
 
-  /** Answers held at once until they are whole or written. */
-  private static final long ANSWER_BYTES = 6L << 20;
+  /** Budget for responses that are buffered until they are complete or written. */
+  private static final long MAX_BUFFERED_RESPONSE_BYTES = 6L << 20;
 
-  /** New connections come for up to 400 ms after SIGTERM. */
-  private static final long ACCEPT_ON_MS = 500;
+  /** How long to keep accepting after SIGTERM; new connections arrive for up to 400 ms. */
+  private static final long ACCEPT_AFTER_SIGNAL_MS = 500;
 
-  /** Nor is a longer deadline waited for than this, which SIGKILL need not do either. */
+  /** Longest deadline that a shutdown waits for; SIGKILL does not wait for a longer one either. */
   static final long MAX_DEADLINE_MS = 3_000;
 
-  private static final long DRAIN_CHECK_MS = 20;
+  private static final long DRAIN_CHECK_INTERVAL_MS = 20;
 
   /**
-   * For so long the list of the configuration is not gone by where an agent pushes lists: it may be
-   * old, and what the agent has counts as told from the first moment of a process. An agent that
-   * has a list answers at once; one that has not answered two calls, 200 ms apart, is silent.
+   * How long the configured list of hosts stays unused where an agent pushes lists: the configured
+   * list may be outdated, and what the agent has counts as known from the start of the process. An
+   * agent that has a list responds at once; one that has not responded to two calls, 200 ms apart,
+   * is unresponsive.
    */
   private static final long FIRST_LIST_TIMEOUT_MS = 400;
 
-  /** As often as this operators' figures of hosts are brought up to date. */
-  private static final long FIGURES_MS = 100;
+  /** Update interval of the metrics for hosts. */
+  private static final long HOST_METRICS_INTERVAL_MS = 100;
 
   static {
-    // As without SLF4J, which the fleet's record brings along: no class of it is loaded for Netty.
+    // SLF4J comes with the dependencies of the fleet's record. Netty would pick it and load it.
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
   }
 
   private GatewayConfig config;
 
-  /** The longest deadline that a leave waits for; tests that hold requests up have more time. */
+  /** Longest deadline that a shutdown waits for; raised by tests that delay requests. */
   long maxDeadlineMs = MAX_DEADLINE_MS;
 
   private final EventLoopGroup group = EventLoops.single();
@@ -83,37 +88,37 @@
   private final Log log;
   private final Transport transport;
   private final CountDownLatch drained = new CountDownLatch(1);
-  private final CountDownLatch settled = new CountDownLatch(1);
+  private final CountDownLatch allAnswered = new CountDownLatch(1);
   private DiscoveryClient discovery;
   private Dispatcher dispatcher;
 
-  /** What may be asked for, under all settings that were taken so far. */
+  /** The classes that clients may request, under all settings applied so far. */
   private volatile ClassBook classes;
 
   private volatile ClientServer clients;
 
-  /** Whether clients are taken; operators ask from a thread of their own. */
-  private volatile boolean serving;
+  /** Whether clients are accepted; also read by the management thread. */
+  private volatile boolean isServing;
 
-  /** How long the first list of an agent is waited for; a test has its own. */
+  /** How long to wait for an agent's first list; changed by tests. */
   long firstListTimeoutMs = FIRST_LIST_TIMEOUT_MS;
 
-  /** Whether any list of hosts is known, an agent's or the configuration's; the loop's. */
-  private boolean listed;
+  /** Whether a list of hosts is in use, from an agent or the configuration; event loop only. */
+  private boolean hasHostList;
 
-  /** Whether a leave has begun; the loop's. */
-  private boolean draining;
+  /** Whether a shutdown has begun; event loop only. */
+  private boolean isShuttingDown;
 
-  /** Null where operators have no address. */
+  /** Null if no management address is configured. */
   private Management management;
 
-  /** Null where the operator's file names no fleet. */
+  /** Null if the operator's file names no fleet. */
   private volatile FleetMembership fleet;
 
-  /** Whether operators drain it by hand. */
-  private volatile boolean handDrain;
+  /** Whether operators have requested a drain. */
+  private volatile boolean drainRequested;
 
-  /** Null where no other process takes over. */
+  /** Null if no other process can take over the address. */
   private ServingPidFile pidFile;
 
   Gateway(GatewayConfig config, PrintStream err, Transport transport) {
@@ -123,7 +128,7 @@
     log = new Log(err, clock);
   }
 
-  /** Runs a gateway until SIGTERM; returns 1 when it cannot start. */
+  /** Runs a gateway until SIGTERM; returns 1 if it cannot start. */
   public static int serve(Map<String, String> environment, PrintStream err) {
     return serve(environment, err, Runtime.getRuntime()::addShutdownHook);
   }
@@ -131,14 +136,14 @@
   /**
    * Runs a gateway until SIGTERM.
    *
-   * @param shutdownHooks is given what has to run at SIGTERM, before the first client can connect:
-   *     a request that was taken in before that would be lost
-   * @return 1 when it cannot start
+   * @param shutdownHooks receives the thread to run at SIGTERM before the first client can connect:
+   *     a request that was accepted earlier would be lost
+   * @return 1 if it cannot start
    */
   static int serve(
       Map<String, String> environment, PrintStream err, Consumer<Thread> shutdownHooks) {
     IgnoredSignals ignored = IgnoredSignals.ofThisProcess();
-    // Before the file is read, so that no change of it is missed.
+    // Created before the file is read, so that no change is missed.
     FileWatcher changes =
         ignored.ignores(IgnoredSignals.HUP)
             ? new FileWatcher(environment.get("NODE_CONFIG"))
@@ -157,7 +162,7 @@
     }
     Gateway gateway = new Gateway(config, err, Transport.TCP);
     Signal.handle(new Signal("HUP"), signal -> gateway.reload(environment));
-    ignored.lines().forEach(gateway.log::line);
+    ignored.warnings().forEach(gateway.log::line);
     if (changes != null) {
       gateway.reloadOn(changes, environment);
     }
@@ -169,7 +174,7 @@
       if (fleet != null) {
         gateway.joinFleet(fleet);
       }
-      new WarmUp(config, environment).run(gateway.log, WarmUp.MOST_MS);
+      new WarmUp(config, environment).run(gateway.log, WarmUp.MAX_MS);
       gateway.openPidFile(temporary(environment));
       gateway.awaitFleet();
       shutdownHooks.accept(new Thread(gateway::drain, "drain"));
@@ -183,10 +188,10 @@
   }
 
   /**
-   * Starts one in this process, with no warm-up and no signals: for those who bring both sides of
-   * it themselves. The caller ends it, by {@link #drain} or {@link #stop}.
+   * Starts a gateway in this process, without warm-up and signal handlers, for callers that provide
+   * both clients and hosts. The caller ends it with {@link #drain} or {@link #stop}.
    *
-   * @throws IllegalStateException when it cannot start; the message is one line
+   * @throws IllegalStateException if it cannot start; the message is one line
    */
   public static Gateway open(Map<String, String> environment, PrintStream err) {
     Gateway gateway;
@@ -206,10 +211,10 @@
   }
 
   /**
-   * Lets operators call, before the gateway starts and where they have an address.
+   * Starts the management listener if an address is configured; called before {@link #start}.
    *
-   * @return where they call, or null
-   * @throws IllegalStateException when their address cannot be listened on
+   * @return the bound address, or null
+   * @throws IllegalStateException if the address cannot be bound
    */
   InetSocketAddress openManagement() {
     if (config.management() == null) {
@@ -221,7 +226,8 @@
 
   void joinFleet(FleetSettings settings) {
     fleet =
-        FleetMembership.open(settings, line -> loop.execute(() -> log.line(line)), this::standing);
+        FleetMembership.open(
+            settings, line -> loop.execute(() -> log.line(line)), this::onFleetStatusChange);
     if (management != null) {
       fleet.registerMetrics(management);
     }
@@ -233,35 +239,35 @@
     }
   }
 
-  /** Its session holds again, or does not; on the fleet's thread. */
-  private void standing() {
-    if (serving) {
-      clients.setDraining(handDrain || fleet.isDraining());
+  /** Called on the fleet's thread when the validity of the session has changed. */
+  private void onFleetStatusChange() {
+    if (isServing) {
+      clients.setDraining(drainRequested || fleet.isDraining());
     }
   }
 
-  /** Whether clients are taken; any thread may ask. */
+  /** Returns whether clients are accepted; callable from any thread. */
   boolean isServing() {
-    return serving && (fleet == null || !fleet.isDraining());
+    return isServing && (fleet == null || !fleet.isDraining());
   }
 
-  /** Begins or ends a drain by operators, at once and from any thread; false if it cannot. */
+  /** Begins or ends a drain by operators, from any thread; returns false if not serving. */
   boolean setDraining(boolean on) {
-    boolean can = serving;
+    boolean can = isServing;
     if (can) {
-      handDrain = on;
+      drainRequested = on;
       clients.setDraining(on || fleet != null && fleet.isDraining());
       loop.execute(() -> log.line("drain by operators: " + (on ? "on" : "off")));
     }
     return can;
   }
 
-  /** Where this process may write; it may share that with the one before and the one after it. */
+  /** The folder for temporary files, possibly shared with the preceding and following process. */
   static Path temporary(Map<String, String> environment) {
     return Path.of(environment.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir")));
   }
 
-  /** Where operators upgrade while it serves, another process may come to the same address. */
+  /** With a management address, operators may start a successor process on the same address. */
   private void openPidFile(Path folder) {
     if (management != null) {
       InetSocketAddress address = config.listen();
@@ -270,43 +276,43 @@
     }
   }
 
-  /** Takes its place among those that serve at its address, before it starts. */
+  /** Sets the pid file that processes on this address share; called before {@link #start}. */
   void setPidFile(ServingPidFile shared) {
     pidFile = shared;
   }
 
-  /** Starts everything and returns the address that clients can connect to. */
+  /** Starts all components and returns the address that clients can connect to. */
   SocketAddress start() {
-    ChannelFuture binding = loop.submit(this::wire).syncUninterruptibly().getNow();
+    ChannelFuture binding = loop.submit(this::startComponents).syncUninterruptibly().getNow();
     if (!binding.awaitUninterruptibly().isSuccess()) {
       throw new IllegalStateException(
           "field config.listen cannot be listened on: " + binding.cause().getMessage());
     }
-    loop.submit(() -> serving = !draining).syncUninterruptibly();
+    loop.submit(() -> isServing = !isShuttingDown).syncUninterruptibly();
     if (fleet != null) {
-      standing();
+      onFleetStatusChange();
     }
     if (pidFile != null) {
       try {
         pidFile.claim();
       } catch (IOException e) {
-        log.failure("the process before this one will not know of it", e);
+        log.failure("the previous process will not detect its successor", e);
       }
     }
     return binding.channel().localAddress();
   }
 
-  private ChannelFuture wire() {
-    if (draining) {
+  private ChannelFuture startComponents() {
+    if (isShuttingDown) {
       throw new IllegalStateException("told to end before it served");
     }
-    int others =
+    int otherDescriptors =
         OTHER_DESCRIPTORS
             + (management == null ? 0 : Management.DESCRIPTORS)
             + (fleet == null ? 0 : FleetMembership.DESCRIPTORS);
-    int shared = Math.max(4, config.sockets() - others);
-    int hostSockets = (int) (HOST_PART * shared);
-    int clientSockets = shared - hostSockets;
+    int available = Math.max(4, config.sockets() - otherDescriptors);
+    int hostSockets = (int) (HOST_SOCKET_SHARE * available);
+    int clientSockets = available - hostSockets;
     HostClient hosts =
         new HostClient(
             loop,
@@ -314,7 +320,7 @@
             clock,
             config.settings().limits(),
             hostSockets,
-            new ByteBudget(ANSWER_BYTES));
+            new ByteBudget(MAX_BUFFERED_RESPONSE_BYTES));
     dispatcher =
         new Dispatcher(
             loop,
@@ -326,8 +332,8 @@
             hosts,
             management == null ? Meter.NONE : management.meter());
     boolean pushed = config.settings().discovery() == Settings.Discovery.PUSHED;
-    // A warm-up has no agent.
-    boolean agentFirst = pushed && transport == Transport.TCP;
+    // The warm-up has no discovery agent.
+    boolean awaitsAgentList = pushed && transport == Transport.TCP;
     discovery =
         new DiscoveryClient(
             loop,
@@ -341,23 +347,23 @@
     Balancer balancer =
         new LcStarBalancer(config.settings(), config.seed(), clock.nowMs(), dispatcher);
     dispatcher.start(balancer, discovery);
-    if (agentFirst) {
-      loop.schedule(this::goByConfiguredList, firstListTimeoutMs, TimeUnit.MILLISECONDS);
+    if (awaitsAgentList) {
+      loop.schedule(this::useConfiguredList, firstListTimeoutMs, TimeUnit.MILLISECONDS);
     } else {
-      goByConfiguredList();
+      useConfiguredList();
     }
     discovery.start();
     if (pidFile != null && pidFile.hasPredecessor()) {
-      // The module spreads first calls, as a whole fleet may be starting. This one starts alone,
-      // and
-      // the list that it was given may be old. The module's own call then finds it done.
+      // The balancing module spreads the first calls, as a whole fleet may be starting. This
+      // process starts alone, and its configured list may be outdated. The module's call is then a
+      // no-op.
       discovery.watch(true);
     }
     if (management != null) {
       loop.scheduleAtFixedRate(
           () -> management.setHostCounts(hosts.size(), balancer.usableHosts(clock.nowMs())),
           0,
-          FIGURES_MS,
+          HOST_METRICS_INTERVAL_MS,
           TimeUnit.MILLISECONDS);
     }
     clients =
@@ -367,55 +373,58 @@
             config.names(),
             classes,
             dispatcher,
-            new ByteBudget(BODY_BYTES),
+            new ByteBudget(MAX_BUFFERED_REQUEST_BYTES),
             log,
             dispatcher.violations(),
             clientSockets);
     return clients.listen(transport, config.listen(), pidFile != null);
   }
 
-  /** What is told first may be changes only: they hold for the list that was asked from. */
+  /** The first update may be a delta, which then applies to the configured list. */
   private void onList(HostList.Update update) {
-    HostList.Update news = listed ? update : config.known().changedBy(update);
-    listed = true;
+    HostList.Update effective = hasHostList ? update : config.known().changedBy(update);
+    hasHostList = true;
     dispatcher.onMembers(
-        news.complete() ? MembersUpdate.Kind.FULL : MembersUpdate.Kind.DELTA, news);
+        effective.complete() ? MembersUpdate.Kind.FULL : MembersUpdate.Kind.DELTA, effective);
   }
 
-  /** Until discovery is heard; requests are held while no host is known. */
-  private void goByConfiguredList() {
-    if (!listed) {
-      listed = true;
+  /**
+   * Uses the configured list until discovery responds; requests are held while no host is known.
+   */
+  private void useConfiguredList() {
+    if (!hasHostList) {
+      hasHostList = true;
       dispatcher.onMembers(MembersUpdate.Kind.CACHED, config.known());
     }
   }
 
   /**
-   * Takes over the configuration as it stands now: where discovery is, the classes and the limits
-   * on attempts; what else has changed waits for a restart. A file that cannot be used changes
-   * nothing. On the loop, so that signals that come close to one another are handled in turn; the
-   * file is small and lies in memory.
+   * Reads the configuration file again and applies discovery's address, the classes and the limits
+   * on attempts; other changes take effect after a restart. An invalid file changes nothing. Runs
+   * on the event loop, so that signals in quick succession are handled in order; the file is small
+   * and in the page cache.
    */
   public void reload(Map<String, String> environment) {
     loop.execute(
         () -> {
-          boolean good = false;
+          boolean succeeded = false;
           try {
-            GatewayConfig next = config.readAgain(environment);
+            GatewayConfig reloaded = config.reread(environment);
             ClassBook book =
-                classes.reloaded(next.names().classes(), next.settings().classes(), clock.nowMs());
-            good = true;
-            apply(next, book);
+                classes.reloaded(
+                    reloaded.names().classes(), reloaded.settings().classes(), clock.nowMs());
+            succeeded = true;
+            apply(reloaded, book);
           } catch (ConfigException | IllegalArgumentException e) {
             log.line("kept the old configuration: " + e.getMessage());
           }
           if (management != null) {
-            management.reloaded(good);
+            management.reloaded(succeeded);
           }
         });
   }
 
-  /** Reloads whenever the file has changed: for where SIGHUP does not arrive. */
+  /** Reloads whenever the file has changed; used if SIGHUP is ignored. */
   private void reloadOn(FileWatcher changes, Map<String, String> environment) {
     loop.scheduleWithFixedDelay(
         () -> {
@@ -423,25 +432,25 @@
             reload(environment);
           }
         },
-        FileWatcher.EVERY_MS,
-        FileWatcher.EVERY_MS,
+        FileWatcher.POLL_INTERVAL_MS,
+        FileWatcher.POLL_INTERVAL_MS,
         TimeUnit.MILLISECONDS);
   }
 
-  private void apply(GatewayConfig next, ClassBook book) {
+  private void apply(GatewayConfig reloaded, ClassBook book) {
     if (discovery == null) {
-      // Not started yet: it will be with this.
-      config = next;
-      book = next.classes();
+      // Not started yet: the start will use this configuration.
+      config = reloaded;
+      book = reloaded.classes();
     } else {
       Settings before = config.settings();
-      if (!next.settings().with(before.classes(), before.limits()).equals(before)) {
-        log.line("other settings than classes and limits have changed: they wait for a restart");
+      if (!reloaded.settings().with(before.classes(), before.limits()).equals(before)) {
+        log.line("settings other than classes and limits have changed: restart to apply them");
       }
-      dispatcher.onSettings(before.with(book.types(), next.settings().limits()));
+      dispatcher.onSettings(before.with(book.types(), reloaded.settings().limits()));
       clients.reload(book);
-      // In a leave too: as long as anything may be sent, the list has to be known.
-      discovery.moveTo(next.discovery());
+      // During a shutdown too: as long as requests may be sent, a current list is needed.
+      discovery.moveTo(reloaded.discovery());
     }
     classes = book;
     if (management != null) {
@@ -450,44 +459,44 @@
   }
 
   /**
-   * Takes leave: what has been taken and what still comes for a moment is served, and nothing new
-   * after that. With a successor at the same address, nothing new comes from the beginning. Returns
-   * when nothing is owed any more, or when it has to be over; at once where it never served.
+   * Shuts down: serves all accepted requests and those that still arrive for a moment, then nothing
+   * new. With a successor at the same address, accepts no new connections from the beginning.
+   * Returns when no response is pending or the time limit has passed; at once if it never served.
    */
   public void drain() {
     if (group.isShuttingDown()) {
       return;
     }
-    double longestMs = Math.min(maxDeadlineMs, classes.longestDeadlineMs(clock.nowMs()));
-    ShutdownPlan plan = ShutdownPlan.begin(clock.nowMs(), longestMs);
-    boolean followed = pidFile != null && pidFile.hasSuccessor();
+    double longestDeadlineMs = Math.min(maxDeadlineMs, classes.longestDeadlineMs(clock.nowMs()));
+    ShutdownPlan plan = ShutdownPlan.begin(clock.nowMs(), longestDeadlineMs);
+    boolean hasSuccessor = pidFile != null && pidFile.hasSuccessor();
     loop.execute(
         () -> {
-          draining = true;
+          isShuttingDown = true;
           if (clients == null) {
             drained.countDown();
             return;
           }
-          log.line(followed ? "handing over" : "taking leave");
-          serving = false;
-          if (followed) {
+          log.line(hasSuccessor ? "handing over" : "taking leave");
+          isServing = false;
+          if (hasSuccessor) {
             clients.handOver();
           } else {
             clients.drain();
           }
-          dispatcher.endBy(plan.settleByMs());
+          dispatcher.endBy(plan.answerAllByMs());
           loop.schedule(
               () -> Turns.afterReading(loop, this::stopListening),
-              ACCEPT_ON_MS,
+              ACCEPT_AFTER_SIGNAL_MS,
               TimeUnit.MILLISECONDS);
-          long settleInMs = (long) Math.max(0, plan.settleByMs() - clock.nowMs());
+          long answerAllInMs = (long) Math.max(0, plan.answerAllByMs() - clock.nowMs());
           loop.schedule(
-              () -> Turns.afterReading(loop, this::settle), settleInMs, TimeUnit.MILLISECONDS);
+              () -> Turns.afterReading(loop, this::settle), answerAllInMs, TimeUnit.MILLISECONDS);
         });
     try {
-      if (!drained.await(plan.leftMs(clock.nowMs()), TimeUnit.MILLISECONDS)) {
-        // Never before all has its answer, however long this process was held up.
-        settled.await(ShutdownPlan.HELD_UP_MS, TimeUnit.MILLISECONDS);
+      if (!drained.await(plan.remainingMs(clock.nowMs()), TimeUnit.MILLISECONDS)) {
+        // Don't exit before every request has its response, however long this process was stalled.
+        allAnswered.await(ShutdownPlan.STALLED_LOOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -499,7 +508,7 @@
     stop();
   }
 
-  /** Ends at once, with whatever is under way. */
+  /** Stops at once, without completing pending requests. */
   public void stop() {
     if (management != null) {
       management.close();
@@ -513,23 +522,23 @@
   private void stopListening() {
     clients.stopListening();
     loop.scheduleWithFixedDelay(
-        () -> Turns.afterReading(loop, this::checkDrained),
-        DRAIN_CHECK_MS,
-        DRAIN_CHECK_MS,
+        () -> Turns.afterReading(loop, this::checkAllResponsesSent),
+        DRAIN_CHECK_INTERVAL_MS,
+        DRAIN_CHECK_INTERVAL_MS,
         TimeUnit.MILLISECONDS);
   }
 
-  private void checkDrained() {
+  private void checkAllResponsesSent() {
     if (clients.hasNobodyWaiting()) {
       drained.countDown();
     }
   }
 
-  /** All that is owed is answered now, as failed or refused: SIGKILL may come soon. */
+  /** Answers all pending requests now, as failed or refused, as SIGKILL may follow soon. */
   private void settle() {
     dispatcher.failAll();
     clients.settle();
-    settled.countDown();
+    allAnswered.countDown();
   }
 
   private void checkExit() {
@@ -540,7 +549,7 @@
                   clients.checkExit();
                 }
               })
-          .await(ShutdownPlan.HELD_UP_MS, TimeUnit.MILLISECONDS);
+          .await(ShutdownPlan.STALLED_LOOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/hazelspoke/node/GatewayConfig.java
+++ b/src/main/java/hazelspoke/node/GatewayConfig.java
@@ -22,11 +22,12 @@
 import ternscale.api.Settings;
 
 /**
- * What a gateway is told at its start: the file that NODE_CONFIG names, and the variables.
+ * The configuration of a gateway: the file that NODE_CONFIG names, and the environment.
  *
- * @param classes those of the settings, each at its place there
- * @param file as it was read, without the list of hosts
- * @param management where operators call; null where they have no address
+ * @param classes the classes of the settings, by their index there
+ * @param file the file's content without the list of hosts
+ * @param management address of the management listener; null if none is configured
+ * @param known the list of hosts in the file
  */
 record GatewayConfig(
     InetSocketAddress listen,
@@ -40,20 +41,20 @@
     Names names,
     ClassBook classes,
     JsonTree file) {
-  private static final int USUAL_SOCKETS = 1_024;
+  private static final int DEFAULT_SOCKETS = 1_024;
 
   /**
-   * Reads new settings for a gateway that was started with these. Stricter than at the start, where
-   * what is left out takes a default: there has to be all that there was.
+   * Reads new settings for a running gateway. Stricter than at the start, where missing fields take
+   * defaults: every field that the present configuration has is required.
    */
-  GatewayConfig readAgain(Map<String, String> environment) throws ConfigException {
-    GatewayConfig next = read(environment);
+  GatewayConfig reread(Map<String, String> environment) throws ConfigException {
+    GatewayConfig reloaded = read(environment);
     try {
-      next.file.requireKeysOf(file);
+      reloaded.file.requireKeysOf(file);
     } catch (WireException e) {
       throw new ConfigException(e.getMessage());
     }
-    return next;
+    return reloaded;
   }
 
   static GatewayConfig read(Map<String, String> environment) throws ConfigException {
@@ -68,7 +69,7 @@
       return read(JsonTree.read("config", parser), environment);
     } catch (JsonProcessingException e) {
       throw new ConfigException(
-          "the file that NODE_CONFIG names is no JSON: " + e.getOriginalMessage());
+          "the file that NODE_CONFIG names is not valid JSON: " + e.getOriginalMessage());
     } catch (IOException | InvalidPathException e) {
       throw new ConfigException("the file that NODE_CONFIG names cannot be read: " + e);
     }
@@ -86,11 +87,11 @@
       return new GatewayConfig(
           address(config, "listen", environment.get("NODE_LISTEN")),
           management(config, environment.get("NODE_MANAGEMENT")),
-          // The file first: a new configuration replaces it, and leaves the variables behind.
+          // The file has priority: a reload replaces the file, but not the environment.
           address(
               config, "discovery", config.get("discovery").text(environment.get("NODE_DISCOVERY"))),
           seed(config.get("seed")),
-          config.get("limits").get("sockets").integer(USUAL_SOCKETS),
+          config.get("limits").get("sockets").integer(DEFAULT_SOCKETS),
           settings.get("limits").get("open_cap").integer(Integer.MAX_VALUE),
           HostListJson.read(config.get("known"), names),
           read,
@@ -106,14 +107,14 @@
 
   private static Names names(JsonTree settings) {
     return new Names(
-        field(settings.get("grades"), "name"),
-        field(settings.get("tenants"), "name"),
-        texts(settings.get("areas")),
-        texts(settings.get("kinds")),
-        texts(settings.get("report").get("columns")));
+        strings(settings.get("grades"), "name"),
+        strings(settings.get("tenants"), "name"),
+        strings(settings.get("areas")),
+        strings(settings.get("kinds")),
+        strings(settings.get("report").get("columns")));
   }
 
-  private static List<String> field(JsonTree list, String key) {
+  private static List<String> strings(JsonTree list, String key) {
     List<String> out = new ArrayList<>();
     for (JsonTree item : list.list()) {
       out.add(item.get(key).text(""));
@@ -121,7 +122,7 @@
     return List.copyOf(out);
   }
 
-  private static List<String> texts(JsonTree list) {
+  private static List<String> strings(JsonTree list) {
     List<String> out = new ArrayList<>();
     for (JsonTree item : list.list()) {
       out.add(item.text(""));
@@ -137,15 +138,15 @@
     }
     InetSocketAddress address = Addresses.parse(text);
     if (address == null) {
-      throw new ConfigException("field config." + key + " is no address and port: " + text);
+      throw new ConfigException("field config." + key + " is not an address with a port: " + text);
     }
     return address;
   }
 
   private static InetSocketAddress management(JsonTree config, String variable)
       throws ConfigException {
-    boolean set = variable != null || config.get("management").text(null) != null;
-    return set ? address(config, "management", variable) : null;
+    boolean isSet = variable != null || config.get("management").text(null) != null;
+    return isSet ? address(config, "management", variable) : null;
   }
 
   private static long seed(JsonTree seed) throws ConfigException {
@@ -156,7 +157,7 @@
     try {
       return Long.parseUnsignedLong(text, 16);
     } catch (NumberFormatException e) {
-      throw new ConfigException("field config.seed is no hexadecimal number of 64 bits");
+      throw new ConfigException("field config.seed is not a 64-bit hexadecimal number");
     }
   }
 }
--- a/src/main/java/hazelspoke/node/IgnoredSignals.java
+++ b/src/main/java/hazelspoke/node/IgnoredSignals.java
@@ -7,20 +7,21 @@
 import java.util.List;
 
 /**
- * The signals that this process was started to ignore, as by {@code nohup}, by some supervisors and
- * by a shell without job control for what it starts in the background. The JVM leaves those that
- * end a process ignored, and installing a handler for one does nothing and says nothing.
+ * The signals that this process inherited as ignored, for example from {@code nohup}, from some
+ * supervisors, or from a shell without job control that starts it in the background. The JVM leaves
+ * inherited ignored termination signals ignored, and installing a handler for one silently has no
+ * effect.
  *
- * @param mask a bit for each, from the first on
+ * @param mask bit {@code n - 1} is set if signal {@code n} is ignored
  */
 record IgnoredSignals(long mask) {
   static final int HUP = 1;
   static final int INT = 2;
   static final int TERM = 15;
 
-  private static final String FIELD = "SigIgn:";
+  private static final String IGNORED_MASK_FIELD = "SigIgn:";
 
-  /** None where the system does not tell. */
+  /** Reads the mask of this process; empty if the system does not provide it. */
   static IgnoredSignals ofThisProcess() {
     try {
       return read(Files.readAllLines(Path.of("/proc/self/status")));
@@ -29,12 +30,12 @@
     }
   }
 
-  /** From the lines that Linux gives of a process; none where they do not name the field. */
+  /** Parses the lines of {@code /proc/PID/status}; empty if they lack the field. */
   static IgnoredSignals read(List<String> status) {
     for (String line : status) {
-      if (line.startsWith(FIELD)) {
+      if (line.startsWith(IGNORED_MASK_FIELD)) {
         return new IgnoredSignals(
-            Long.parseUnsignedLong(line.substring(FIELD.length()).trim(), 16));
+            Long.parseUnsignedLong(line.substring(IGNORED_MASK_FIELD.length()).trim(), 16));
       }
     }
     return new IgnoredSignals(0);
@@ -45,25 +46,25 @@
   }
 
   /**
-   * What operators have to know, a line each. SIGINT has none: a shell means it to be ignored in
-   * the background, and nothing of a deployment hangs on it.
+   * The warnings for operators, one line each. There is none for SIGINT: shells ignore it in
+   * background processes on purpose, and no deployment depends on it.
    */
-  List<String> lines() {
-    List<String> lines = new ArrayList<>();
+  List<String> warnings() {
+    List<String> warnings = new ArrayList<>();
     if (ignores(HUP)) {
-      lines.add(
-          "SIGHUP is ignored as this was started so: a change of the configuration file is taken"
-              + " as it is seen");
+      warnings.add(
+          "SIGHUP is ignored as this was started so: the configuration file is polled for changes"
+              + " instead");
     }
     if (ignores(TERM)) {
-      lines.add(
-          "SIGTERM is ignored as this was started so: it will not leave when told to, start it by"
-              + " env --default-signal=TERM");
+      warnings.add(
+          "SIGTERM is ignored as this was started so: it will not shut down on SIGTERM; start it"
+              + " with env --default-signal=TERM");
     }
-    return lines;
+    return warnings;
   }
 
-  /** Shows operators 1 for each of those that something hangs on, or 0. */
+  /** Registers one gauge per signal: 1 if it is ignored, else 0. */
   void registerMetrics(Management management) {
     management.gauge("ignored.sighup", () -> ignores(HUP) ? 1 : 0);
     management.gauge("ignored.sigint", () -> ignores(INT) ? 1 : 0);
--- a/src/main/java/hazelspoke/node/Management.java
+++ b/src/main/java/hazelspoke/node/Management.java
@@ -9,11 +9,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * What operators have of one gateway: their listener and the metrics. A gateway has none where they
- * have no address, and then neither this class nor the package behind it is loaded.
+ * The management listener and the metrics of one gateway. If no management address is configured
+ * there is no instance, and neither this class nor the {@code operations} package is loaded.
  */
 final class Management implements ManagedGateway, AutoCloseable {
-  /** What their listener needs of the descriptors there are. */
+  /** File descriptors that the management listener needs. */
   static final int DESCRIPTORS = ManagementServer.DESCRIPTORS;
 
   private final Gateway gateway;
@@ -25,7 +25,7 @@
     metrics = new GatewayMetrics(classNames);
   }
 
-  /** Lets them call there; see {@link ManagementServer#listen}. */
+  /** Starts the listener; see {@link ManagementServer#listen}. */
   InetSocketAddress listen(InetSocketAddress address) {
     return server.listen(address);
   }
@@ -34,18 +34,18 @@
     return metrics;
   }
 
-  /** Notes how many hosts are listed, and how many of them would be sent a request now. */
+  /** Updates the number of listed hosts and how many of them could be sent a request now. */
   void setHostCounts(int known, int usable) {
     metrics.setHostCounts(known, Math.max(0, known - usable));
   }
 
-  /** Adds a figure that any thread may ask for. */
+  /** Registers a gauge; {@code value} may be called from any thread. */
   void gauge(String name, LongSupplier value) {
     metrics.gauge(name, value);
   }
 
-  void reloaded(boolean good) {
-    metrics.reloaded(good);
+  void reloaded(boolean succeeded) {
+    metrics.reloaded(succeeded);
   }
 
   void setClasses(List<String> names) {
--- a/src/main/java/hazelspoke/node/ShutdownPlan.java
+++ b/src/main/java/hazelspoke/node/ShutdownPlan.java
@@ -1,35 +1,35 @@
 package hazelspoke.node;
 
 /**
- * The times of one shutdown, reckoned from the moment at which this process was told to end.
- * SIGKILL may follow the longest deadline by {@link #KILL_AFTER_MS}; the process may be held up for
- * {@link #PAUSE_MS} anywhere before that, and its clock starts late, by what it takes to hear of
- * the signal. Pure.
+ * The time limits of one shutdown, counted from the moment at which this process received the
+ * signal. SIGKILL may follow {@link #KILL_AFTER_MS} after the longest deadline. The process may
+ * stall for {@link #STALL_MS} at any point before that, and it observes the signal with a delay.
+ * Has no side effects.
  *
- * @param settleByMs on the gateway's clock: when all that is owed is answered
- * @param exitByMs until when clients may take what was written for them
+ * @param answerAllByMs when all pending requests are answered, on the gateway's clock
+ * @param exitByMs until when clients may read the responses that were written to them
  */
-record ShutdownPlan(double settleByMs, double exitByMs) {
-  /** SIGKILL comes no sooner than this after the longest deadline. */
+record ShutdownPlan(double answerAllByMs, double exitByMs) {
+  /** Minimum time from the longest deadline to SIGKILL. */
   static final double KILL_AFTER_MS = 700;
 
-  /** A process may be held up for so long between reading its clock and writing. */
-  static final double PAUSE_MS = 150;
+  /** Longest assumed stall of the process between reading its clock and writing. */
+  static final double STALL_MS = 150;
 
-  /** To hear of the signal, and to write the last answers. */
+  /** Time to observe the signal and to write the last responses. */
   static final double MARGIN_MS = 50;
 
-  /** A process whose loop does not get on for this long is not waited for any more. */
-  static final long HELD_UP_MS = 10_000;
+  /** How long the shutdown waits for an event loop that makes no progress. */
+  static final long STALLED_LOOP_TIMEOUT_MS = 10_000;
 
-  /** The plan of a process that is told to end now. */
+  /** Computes the plan of a process that receives the signal now. */
   static ShutdownPlan begin(double nowMs, double longestDeadlineMs) {
-    double killAt = nowMs + longestDeadlineMs + KILL_AFTER_MS;
-    return new ShutdownPlan(killAt - PAUSE_MS - MARGIN_MS, killAt - MARGIN_MS);
+    double killAtMs = nowMs + longestDeadlineMs + KILL_AFTER_MS;
+    return new ShutdownPlan(killAtMs - STALL_MS - MARGIN_MS, killAtMs - MARGIN_MS);
   }
 
-  /** How long the process may go on at most, in whole milliseconds. */
-  long leftMs(double nowMs) {
+  /** Returns for how long the process may continue, in whole milliseconds. */
+  long remainingMs(double nowMs) {
     return (long) Math.max(0, exitByMs - nowMs);
   }
 }
--- a/src/main/java/hazelspoke/node/WarmUp.java
+++ b/src/main/java/hazelspoke/node/WarmUp.java
@@ -25,43 +25,46 @@
 import ternscale.api.Settings.Effect;
 
 /**
- * Before the first client comes, a gateway like the one to be started serves clients of its own
- * from a host of its own, over sockets in the file system. Code that runs for the first time takes
- * many times the CPU, at the sockets most of all, and with part of a core the first seconds of
- * traffic would pile up behind it: late requests are given up, and asked again over new
- * connections, which are the dearest. It counts requests and not time, as code is compiled once it
- * has run often enough, however slow the machine; the bound in time only keeps a very slow one from
- * staying away for ever. It also takes the module through errors and second tries. It could hurt
- * where a restart has nobody to carry its share meanwhile.
+ * Warms up the JVM before the first client connects: a gateway with the same configuration serves
+ * in-process clients from an in-process host over Unix domain sockets. Code that runs for the first
+ * time needs many times the CPU, most of all at the sockets, and on part of a core the first
+ * seconds of traffic would queue behind it: clients abandon late requests and send them again over
+ * new connections, which cost the most. The warm-up is measured in requests and not in time,
+ * because code is compiled after a number of executions, however slow the machine; the time limit
+ * only bounds the delay on a very slow one. It also covers the balancing module's paths for errors
+ * and retries. The delay is a disadvantage where no other gateway carries the load during a
+ * restart.
  */
 final class WarmUp {
   private static final int REQUESTS = 300;
 
-  /** In service; see {@link #run}. */
-  static final long MOST_MS = 2_000;
+  /** Time limit in production; see {@link #run}. */
+  static final long MAX_MS = 2_000;
 
   private static final int CLIENTS = 8;
 
-  /** As often as this a client opens a new connection for its next request. */
+  /** After this many requests a client opens a new connection. */
   private static final int REQUESTS_PER_CONNECTION = 3;
 
   /**
-   * One answer in so many turns a request away, and as many err or break off; few eject no host.
+   * One response in this many rejects its request; equally many are errors, and equally many are
+   * dropped connections. These are too few to eject a host.
    */
-  private static final int TROUBLE_EVERY = 100;
+  private static final int FAULT_INTERVAL = 100;
 
-  private static final char LAST = '!';
-  private static final String BODY = "-".repeat(200) + LAST;
-  private static final String ANSWER = "\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY;
+  private static final char END_MARK = '!';
+  private static final String BODY = "-".repeat(200) + END_MARK;
+  private static final String RESPONSE_END =
+      "\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY;
 
-  /** Ids are 32 hexadecimal digits long. */
-  private static final String ID = "0123456789abcdef0123456789";
+  /** Common prefix of the request ids. */
+  private static final String ID_PREFIX = "0123456789abcdef0123456789";
 
   private final GatewayConfig config;
   private final Path folder;
-  private final CountDownLatch left = new CountDownLatch(REQUESTS);
-  private int asked;
-  private int answered;
+  private final CountDownLatch remaining = new CountDownLatch(REQUESTS);
+  private int sent;
+  private int responses;
 
   WarmUp(GatewayConfig config, Map<String, String> environment) {
     this.config = config;
@@ -69,43 +72,43 @@
   }
 
   /**
-   * Never keeps a gateway from starting, nor for longer than this: it is of use, not of need. Where
-   * sockets in the file system carry nothing it is left out at once: there it could only wait out
-   * its time, while clients find nobody.
+   * Runs the warm-up. It is optional: a failure is logged and never prevents the gateway from
+   * starting, and it takes no longer than the given limit. Where Unix domain sockets do not work it
+   * is skipped at once, as it could only wait for the limit while clients find no listener.
    *
-   * @return whether all requests were answered
+   * @return whether all requests got a response
    */
-  boolean run(Log log, long mostMs) {
+  boolean run(Log log, long maxMs) {
     try {
-      // By its process and not by a random name, as such names take long to make.
-      Path own = folder.resolve("warm-up-" + ProcessHandle.current().pid());
-      // The folder may outlive a process that was killed here, and an id may come again.
-      clear(own);
-      Files.createDirectory(own);
+      // Named by the process id: generating a random name takes long.
+      Path socketFolder = folder.resolve("warm-up-" + ProcessHandle.current().pid());
+      // A process that was killed may have left the folder behind, and process ids are reused.
+      deleteSockets(socketFolder);
+      Files.createDirectory(socketFolder);
       try {
-        if (LocalSockets.carry(own.resolve("host"))) {
-          play(own.resolve("gateway"), own.resolve("host"), mostMs);
+        if (LocalSockets.carry(socketFolder.resolve("host"))) {
+          exchange(socketFolder.resolve("gateway"), socketFolder.resolve("host"), maxMs);
         } else {
-          log.line("no warm-up: sockets in the file system carry nothing here");
+          log.line("no warm-up: Unix domain sockets do not work here");
         }
       } finally {
-        clear(own);
+        deleteSockets(socketFolder);
       }
     } catch (IOException | RuntimeException e) {
       log.failure("the warm-up failed", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    return left.getCount() == 0;
+    return remaining.getCount() == 0;
   }
 
-  private static void clear(Path own) throws IOException {
-    Files.deleteIfExists(own.resolve("gateway"));
-    Files.deleteIfExists(own.resolve("host"));
-    Files.deleteIfExists(own);
+  private static void deleteSockets(Path socketFolder) throws IOException {
+    Files.deleteIfExists(socketFolder.resolve("gateway"));
+    Files.deleteIfExists(socketFolder.resolve("host"));
+    Files.deleteIfExists(socketFolder);
   }
 
-  private void play(Path front, Path host, long mostMs) throws InterruptedException {
+  private void exchange(Path front, Path host, long maxMs) throws InterruptedException {
     Transport transport = Transport.local(front, host);
     Gateway gateway =
         new Gateway(config, new PrintStream(OutputStream.nullOutputStream()), transport);
@@ -131,7 +134,7 @@
       for (int i = 0; i < CLIENTS; i++) {
         connect(clients);
       }
-      left.await(mostMs, TimeUnit.MILLISECONDS);
+      remaining.await(maxMs, TimeUnit.MILLISECONDS);
     } finally {
       gateway.stop();
     }
@@ -151,21 +154,21 @@
   }
 
   private ByteBuf request() {
-    int c = asked % config.names().classes().size();
-    String name = config.names().classes().get(c);
-    Effect effect = config.settings().classes().get(c).effect();
-    boolean safe = effect == Effect.REPEATABLE;
-    StringBuilder text = new StringBuilder(safe ? "GET /" : "POST /");
+    int classIndex = sent % config.names().classes().size();
+    String name = config.names().classes().get(classIndex);
+    Effect effect = config.settings().classes().get(classIndex).effect();
+    boolean isGet = effect == Effect.REPEATABLE;
+    StringBuilder text = new StringBuilder(isGet ? "GET /" : "POST /");
     text.append(name).append(" HTTP/1.1\r\nHost: warm-up\r\nX-Lane: ").append(name);
-    text.append("\r\nX-Txn: ").append(ID).append(asked);
-    text.append("\r\nX-Entity: ").append(asked % CLIENTS).append("\r\nX-Remaining: 9.000");
-    text.append("\r\nX-Estimate: ").append(1_000 + asked % TROUBLE_EVERY * 100);
+    text.append("\r\nX-Txn: ").append(ID_PREFIX).append(sent);
+    text.append("\r\nX-Entity: ").append(sent % CLIENTS).append("\r\nX-Remaining: 9.000");
+    text.append("\r\nX-Estimate: ").append(1_000 + sent % FAULT_INTERVAL * 100);
     if (effect == Effect.BY_KEY) {
-      text.append("\r\nIdempotency-Key: ").append(ID).append(asked);
+      text.append("\r\nIdempotency-Key: ").append(ID_PREFIX).append(sent);
     }
-    asked++;
-    text.append("\r\nContent-Length: ").append(safe ? 0 : BODY.length());
-    text.append("\r\n\r\n").append(safe ? "" : BODY);
+    sent++;
+    text.append("\r\nContent-Length: ").append(isGet ? 0 : BODY.length());
+    text.append("\r\n\r\n").append(isGet ? "" : BODY);
     return bytes(text.toString());
   }
 
@@ -174,17 +177,17 @@
   }
 
   /**
-   * Whether these bytes end a message: its body's last byte or, where there is none, its head's.
-   * Plain and good enough here, where reading with care would cost what is to be saved.
+   * Returns whether these bytes end a message, by the last byte of its body or, without a body, of
+   * its head. Full parsing would cost the time that the warm-up is to save.
    */
-  private static boolean ends(Object message) {
+  private static boolean endsMessage(Object message) {
     ByteBuf bytes = (ByteBuf) message;
     byte last = bytes.getByte(bytes.writerIndex() - 1);
     bytes.release();
-    return last == LAST || last == '\n';
+    return last == END_MARK || last == '\n';
   }
 
-  /** Either end; one that breaks has no more to say. */
+  /** One end of a connection; closes it on any error. */
   private static class Peer extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
@@ -192,7 +195,7 @@
     }
   }
 
-  /** Asks one request after the other, and goes on over another connection after some. */
+  /** Sends one request after the other, and reconnects after {@link #REQUESTS_PER_CONNECTION}. */
   private final class Client extends Peer {
     private final Bootstrap next;
     private int requests;
@@ -208,8 +211,8 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-      if (ends(message)) {
-        left.countDown();
+      if (endsMessage(message)) {
+        remaining.countDown();
         if (++requests < REQUESTS_PER_CONNECTION) {
           ctx.writeAndFlush(request());
         } else {
@@ -220,31 +223,31 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      if (left.getCount() > 0 && !next.config().group().isShuttingDown()) {
+      if (remaining.getCount() > 0 && !next.config().group().isShuttingDown()) {
         connect(next);
       }
     }
   }
 
-  /** Answers at once, mostly well. */
+  /** Responds at once, mostly with success. */
   private final class Host extends Peer {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-      if (!ends(message)) {
+      if (!endsMessage(message)) {
         return;
       }
-      int trouble = ++answered % TROUBLE_EVERY;
-      if (trouble == 0) {
+      int fault = ++responses % FAULT_INTERVAL;
+      if (fault == 0) {
         ctx.close();
         return;
       }
       String status =
-          switch (trouble) {
+          switch (fault) {
             case 1 -> "503 no\r\nX-Turned-Away: 1";
             case 2 -> "500 no";
             default -> "200 OK";
           };
-      ctx.writeAndFlush(bytes("HTTP/1.1 " + status + ANSWER));
+      ctx.writeAndFlush(bytes("HTTP/1.1 " + status + RESPONSE_END));
     }
   }
 }
--- a/src/test/java/hazelspoke/node/SignalsTest.java
+++ b/src/test/java/hazelspoke/node/SignalsTest.java
@@ -75,10 +75,10 @@
     assertThat(both.ignores(IgnoredSignals.HUP)).isTrue();
     assertThat(both.ignores(IgnoredSignals.INT)).isFalse();
     assertThat(both.ignores(IgnoredSignals.TERM)).isTrue();
-    assertThat(both.lines()).hasSize(2);
+    assertThat(both.warnings()).hasSize(2);
     IgnoredSignals background = IgnoredSignals.read(List.of(line("0006")));
     assertThat(background.ignores(IgnoredSignals.INT)).isTrue();
-    assertThat(background.lines()).isEmpty();
+    assertThat(background.warnings()).isEmpty();
     assertThat(IgnoredSignals.read(List.of("Name:\tjava")).mask()).isZero();
   }
 
