--- a/src/main/java/hazelspoke/config/OperatorConfig.java
+++ b/src/main/java/hazelspoke/config/OperatorConfig.java
@@ -86,8 +86,8 @@
         addresses.put(member, address);
       }
     }
-    if (members.keys().size() > FleetRecord.MOST_SESSIONS) {
-      in.error("members", "are more than " + FleetRecord.MOST_SESSIONS);
+    if (members.keys().size() > FleetRecord.MAX_SESSIONS) {
+      in.error("members", "are more than " + FleetRecord.MAX_SESSIONS);
     }
     checkUniqueAddresses(in, addresses);
     String self = environment.get(SELF_VARIABLE);
@@ -96,9 +96,9 @@
     }
     checkMember(in, "self", self, members.keys());
     List<String> voters = voters(in, members.keys());
-    double termS = in.number("term_s", MemberSettings.USUAL_TERM_NANOS / NANOS_PER_S, 1, 600);
+    double termS = in.number("term_s", MemberSettings.DEFAULT_LEASE_NANOS / NANOS_PER_S, 1, 600);
     double heartbeatMs =
-        in.number("heartbeat_ms", MemberSettings.USUAL_HEARTBEAT_NANOS / NANOS_PER_MS, 20, 5_000);
+        in.number("heartbeat_ms", MemberSettings.DEFAULT_HEARTBEAT_NANOS / NANOS_PER_MS, 20, 5_000);
     if (heartbeatMs * 8 > termS * 1_000) {
       in.error("heartbeat_ms", "a term must be at least eight heartbeats");
     }
@@ -110,9 +110,9 @@
             List.copyOf(new TreeSet<>(addresses.keySet())),
             voters,
             (long) (termS * NANOS_PER_S),
-            in.number("drift", MemberSettings.USUAL_DRIFT, 0, 0.1),
+            in.number("drift", MemberSettings.DEFAULT_DRIFT, 0, 0.1),
             (long) (heartbeatMs * NANOS_PER_MS),
-            (int) in.number("snapshot_every", MemberSettings.USUAL_SNAPSHOT_EVERY, 10, 1_000_000),
+            (int) in.number("snapshot_every", MemberSettings.DEFAULT_SNAPSHOT_EVERY, 10, 1_000_000),
             in.enumValue("refusal", Refusal.COUNTS) == Refusal.COUNTS);
     InetSocketAddress listen = in.has("listen") ? address(in, "listen") : addresses.get(self);
     FleetSettings.Alone alone = in.enumValue("alone", FleetSettings.Alone.SERVE);
--- a/src/main/java/hazelspoke/front/http/ClientServer.java
+++ b/src/main/java/hazelspoke/front/http/ClientServer.java
@@ -1,20 +1,20 @@
 package hazelspoke.front.http;
 
 import hazelspoke.core.ByteBudget;
-import hazelspoke.core.ClassBook;
+import hazelspoke.core.ClassRegistry;
 import hazelspoke.core.Clock;
 import hazelspoke.core.Exchange;
-import hazelspoke.core.Intake;
 import hazelspoke.core.Log;
 import hazelspoke.core.Names;
 import hazelspoke.core.Request;
+import hazelspoke.core.RequestHandler;
 import hazelspoke.core.Violations;
 import hazelspoke.front.http.ClientConnection.State;
 import hazelspoke.http.HttpLimits;
 import hazelspoke.net.Buffers;
 import hazelspoke.net.Listener;
+import hazelspoke.net.SocketPolling;
 import hazelspoke.net.Transport;
-import hazelspoke.net.Turns;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -79,12 +79,12 @@
   private final EventLoop loop;
   private final Clock clock;
   private final Names names;
-  private ClassBook classes;
-  private final Intake intake;
+  private ClassRegistry classes;
+  private final RequestHandler intake;
   private final ByteBudget bodyBudget;
   private final Log log;
   private final Violations violations;
-  private final int mostConnections;
+  private final int maxConnections;
 
   /** All connections by what they are at, the longest so first. */
   private final Map<State, Set<ClientConnection>> byState = new EnumMap<>(State.class);
@@ -93,11 +93,11 @@
   private boolean makingRoom;
   private Channel listener;
   private boolean ready;
-  private boolean leaving;
+  private boolean shuttingDown;
   private boolean handedOver;
 
   /** Whether whatever still comes is refused: this process ends. */
-  private boolean settled;
+  private boolean rejectingRequests;
 
   /** When the drain by operators began; infinite when there is none. Any thread may set it. */
   private volatile double drainingSince = Double.POSITIVE_INFINITY;
@@ -106,12 +106,12 @@
       EventLoop loop,
       Clock clock,
       Names names,
-      ClassBook classes,
-      Intake intake,
+      ClassRegistry classes,
+      RequestHandler intake,
       ByteBudget bodyBudget,
       Log log,
       Violations violations,
-      int mostConnections) {
+      int maxConnections) {
     this.loop = loop;
     this.clock = clock;
     this.names = names;
@@ -120,13 +120,16 @@
     this.bodyBudget = bodyBudget;
     this.log = log;
     this.violations = violations;
-    this.mostConnections = Math.max(1, mostConnections - ACCEPTED_AT_ONCE);
+    this.maxConnections = Math.max(1, maxConnections - ACCEPTED_AT_ONCE);
     for (State state : State.values()) {
       byState.put(state, new LinkedHashSet<>());
     }
     // After reading: who has spoken while this process stood still is not taken for silent.
     loop.scheduleWithFixedDelay(
-        () -> Turns.afterReading(loop, this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        () -> SocketPolling.afterPoll(loop, this::sweep),
+        SWEEP_MS,
+        SWEEP_MS,
+        TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -138,11 +141,11 @@
     ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(loop)
-            .channel(transport.server())
+            .channel(transport.serverChannelType())
             .option(ChannelOption.SO_BACKLOG, BACKLOG)
             .handler(new AcceptFailures())
             .childOption(ChannelOption.ALLOCATOR, Buffers.ALLOCATOR)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Buffers.receiveAllocator())
             .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARK)
             .childHandler(
                 new ChannelInitializer<Channel>() {
@@ -154,7 +157,7 @@
     if (shared) {
       bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
-    ChannelFuture binding = bootstrap.bind(transport.listening().apply(address));
+    ChannelFuture binding = bootstrap.bind(transport.bindAddress().apply(address));
     listener = binding.channel();
     ready = true;
     return binding;
@@ -164,12 +167,12 @@
     ClientConnection connection = new ClientConnection(this, ch);
     ch.pipeline()
         .addLast(
-            new FirstBytes(connection),
+            new FirstBytesHandler(connection),
             new StrictRequestDecoder(HttpLimits.decoderConfig()),
             connection);
     byState.get(connection.state()).add(connection);
     open++;
-    if (open >= mostConnections && !makingRoom) {
+    if (open >= maxConnections && !makingRoom) {
       listener.config().setAutoRead(false);
       makeRoomAfter(0);
     }
@@ -192,7 +195,8 @@
 
   private void makeRoomAfter(long delayMs) {
     makingRoom = true;
-    loop.schedule(() -> Turns.afterReading(loop, this::makeRoom), delayMs, TimeUnit.MILLISECONDS);
+    loop.schedule(
+        () -> SocketPolling.afterPoll(loop, this::makeRoom), delayMs, TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -204,7 +208,7 @@
   private void makeRoom() {
     makingRoom = false;
     double now = clock.nowMs();
-    while (open >= mostConnections) {
+    while (open >= maxConnections) {
       ClientConnection victim = victim(now);
       if (victim == null) {
         makeRoomAfter((long) FRESH_MS);
@@ -231,13 +235,13 @@
     return null;
   }
 
-  public void changed(ClientConnection connection, State before) {
+  public void stateChanged(ClientConnection connection, State before) {
     if (byState.get(before).remove(connection)) {
       byState.get(connection.state()).add(connection);
     }
   }
 
-  public void closed(ClientConnection connection) {
+  public void connectionClosed(ClientConnection connection) {
     if (byState.get(connection.state()).remove(connection)) {
       open--;
     }
@@ -245,7 +249,7 @@
 
   private void sweep() {
     boolean go = clock.nowMs() - drainingSince >= DRAIN_REST_MS;
-    double restMs = open > mostConnections / 2 ? IDLE_MS : IDLE_WITH_ROOM_MS;
+    double restMs = open > maxConnections / 2 ? IDLE_MS : IDLE_WITH_ROOM_MS;
     expire(State.FRESH, go ? DRAIN_REST_MS : IDLE_MS);
     expire(State.IDLE, go ? 0 : restMs);
     expire(State.HEAD, HEAD_MS);
@@ -273,17 +277,17 @@
   }
 
   /** Counts what must never happen. */
-  void violated(Violations.Kind kind, String request) {
+  void reportViolation(Violations.Kind kind, String request) {
     violations.count(kind, request);
   }
 
   /** Notes an error of this program's own. */
-  void failed(Throwable cause) {
+  void logFailure(Throwable cause) {
     log.failure("a connection of a client's", cause);
   }
 
   /** What may be asked for from now on. */
-  public void reload(ClassBook next) {
+  public void reload(ClassRegistry next) {
     classes = next;
   }
 
@@ -296,12 +300,12 @@
   }
 
   /** Whether clients are told with each answer to go elsewhere. */
-  public boolean isSendingAway() {
-    return leaving || handedOver || isDraining();
+  public boolean isClosingAfterResponse() {
+    return shuttingDown || handedOver || isDraining();
   }
 
-  public boolean isLeaving() {
-    return leaving;
+  public boolean isShuttingDown() {
+    return shuttingDown;
   }
 
   private boolean isDraining() {
@@ -326,7 +330,7 @@
 
   /** Whether bodies may be held until they are whole, up to the larger of the bounds. */
   boolean hasRoomForBodies() {
-    return bodyBudget.isRoomy();
+    return bodyBudget.hasHeadroom();
   }
 
   /** Whether another request with the same id is open; that one goes on. */
@@ -334,28 +338,28 @@
     return intake.isOpen(exchange.request().txn());
   }
 
-  public void taken(Exchange exchange) {
+  public void requestAccepted(Exchange exchange) {
     intake.onRequest(exchange);
   }
 
-  public void whole(Exchange exchange) {
-    intake.onWhole(exchange);
+  public void requestComplete(Exchange exchange) {
+    intake.onRequestComplete(exchange);
   }
 
-  public void clientGone(Exchange exchange) {
-    intake.onClientGone(exchange);
+  public void clientDisconnected(Exchange exchange) {
+    intake.onClientDisconnected(exchange);
   }
 
   /** The answer to a request that was taken has left, or its connection has ended before that. */
-  void answerLeft(Exchange exchange) {
-    intake.onAnswerLeft(exchange);
+  void responseWritten(Exchange exchange) {
+    intake.onAnswerWritten(exchange);
   }
 
   /**
    * The gateway is unready, and goes on serving: who has a connection may use it to the end, as the
    * others may be busy or away themselves. At the end all come to the others at once.
    */
-  public void drain() {
+  public void markUnready() {
     ready = false;
   }
 
@@ -374,7 +378,7 @@
    * there is room, and the rest as others leave.
    */
   public void stopListening() {
-    leaving = true;
+    shuttingDown = true;
     List.copyOf(byState.get(State.IDLE)).forEach(ClientConnection::expire);
     closeListener();
   }
@@ -385,7 +389,7 @@
       return true;
     }
     if (listener instanceof Listener own) {
-      return own.closeEmpty(mostConnections - open);
+      return own.acceptPendingAndClose(maxConnections - open);
     }
     listener.close();
     return true;
@@ -395,25 +399,25 @@
    * This process ends: whoever's request is still coming is refused at once, also on connections
    * that come from now on. What had come whole has to be answered before this.
    */
-  public void settle() {
+  public void rejectIncompleteRequests() {
     closeListener();
-    settled = true;
+    rejectingRequests = true;
     for (State state : State.values()) {
-      List.copyOf(byState.get(state)).forEach(ClientConnection::settle);
+      List.copyOf(byState.get(state)).forEach(ClientConnection::rejectIncompleteRequest);
     }
   }
 
   /** Whether no request is taken any more, however late it comes. */
-  boolean isSettled() {
-    return settled;
+  boolean isRejectingRequests() {
+    return rejectingRequests;
   }
 
   /** Counts whoever has no answer as this process ends; nobody has any more time then. */
-  public void checkExit() {
+  public void reportUnansweredAtExit() {
     for (Set<ClientConnection> connections : byState.values()) {
       for (ClientConnection connection : connections) {
-        if (connection.owesAnswer()) {
-          violated(Violations.Kind.EXIT_UNANSWERED, connection.describe());
+        if (connection.hasPendingResponse()) {
+          reportViolation(Violations.Kind.EXIT_UNANSWERED, connection.describe());
         }
       }
     }
@@ -424,7 +428,7 @@
    * the sockets were read. Who is new has a moment to say something, and who was told good-bye one
    * to go: an end on what a client still sends would reset the answer on its way to it.
    */
-  public boolean hasNobodyWaiting() {
+  public boolean hasNoPendingClients() {
     expire(State.FRESH, LEAVE_MS);
     double before = clock.nowMs() - LEAVE_MS;
     return closeListener()
--- a/src/main/java/hazelspoke/node/Gateway.java
+++ b/src/main/java/hazelspoke/node/Gateway.java
@@ -3,7 +3,7 @@
 import hazelspoke.agreement.net.FleetSettings;
 import hazelspoke.back.http.HostClient;
 import hazelspoke.core.ByteBudget;
-import hazelspoke.core.ClassBook;
+import hazelspoke.core.ClassRegistry;
 import hazelspoke.core.Clock;
 import hazelspoke.core.Dispatcher;
 import hazelspoke.core.HostList;
@@ -12,8 +12,8 @@
 import hazelspoke.discovery.DiscoveryClient;
 import hazelspoke.front.http.ClientServer;
 import hazelspoke.net.EventLoops;
+import hazelspoke.net.SocketPolling;
 import hazelspoke.net.Transport;
-import hazelspoke.net.Turns;
 import hazelspoke.takeover.ServingPidFile;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -93,7 +93,7 @@
   private Dispatcher dispatcher;
 
   /** The classes that clients may request, under all settings applied so far. */
-  private volatile ClassBook classes;
+  private volatile ClassRegistry classes;
 
   private volatile ClientServer clients;
 
@@ -338,7 +338,7 @@
         new DiscoveryClient(
             loop,
             transport,
-            new DiscoveryClient.Start(
+            new DiscoveryClient.InitialState(
                 config.discovery(), pushed, config.names(), config.known().version()),
             clock,
             log,
@@ -410,11 +410,11 @@
           boolean succeeded = false;
           try {
             GatewayConfig reloaded = config.reread(environment);
-            ClassBook book =
+            ClassRegistry registry =
                 classes.reloaded(
                     reloaded.names().classes(), reloaded.settings().classes(), clock.nowMs());
             succeeded = true;
-            apply(reloaded, book);
+            apply(reloaded, registry);
           } catch (ConfigException | IllegalArgumentException e) {
             log.line("kept the old configuration: " + e.getMessage());
           }
@@ -437,24 +437,24 @@
         TimeUnit.MILLISECONDS);
   }
 
-  private void apply(GatewayConfig reloaded, ClassBook book) {
+  private void apply(GatewayConfig reloaded, ClassRegistry registry) {
     if (discovery == null) {
       // Not started yet: the start will use this configuration.
       config = reloaded;
-      book = reloaded.classes();
+      registry = reloaded.classes();
     } else {
       Settings before = config.settings();
       if (!reloaded.settings().with(before.classes(), before.limits()).equals(before)) {
         log.line("settings other than classes and limits have changed: restart to apply them");
       }
-      dispatcher.onSettings(before.with(book.types(), reloaded.settings().limits()));
-      clients.reload(book);
+      dispatcher.onSettings(before.with(registry.types(), reloaded.settings().limits()));
+      clients.reload(registry);
       // During a shutdown too: as long as requests may be sent, a current list is needed.
       discovery.moveTo(reloaded.discovery());
     }
-    classes = book;
+    classes = registry;
     if (management != null) {
-      management.setClasses(book.names());
+      management.setClasses(registry.names());
     }
   }
 
@@ -482,16 +482,16 @@
           if (hasSuccessor) {
             clients.handOver();
           } else {
-            clients.drain();
+            clients.markUnready();
           }
-          dispatcher.endBy(plan.answerAllByMs());
+          dispatcher.setShutdownDeadline(plan.answerAllByMs());
           loop.schedule(
-              () -> Turns.afterReading(loop, this::stopListening),
+              () -> SocketPolling.afterPoll(loop, this::stopListening),
               ACCEPT_AFTER_SIGNAL_MS,
               TimeUnit.MILLISECONDS);
           long answerAllInMs = (long) Math.max(0, plan.answerAllByMs() - clock.nowMs());
           loop.schedule(
-              () -> Turns.afterReading(loop, this::settle), answerAllInMs, TimeUnit.MILLISECONDS);
+              () -> SocketPolling.afterPoll(loop, this::answerAll), answerAllInMs, TimeUnit.MILLISECONDS);
         });
     try {
       if (!drained.await(plan.remainingMs(clock.nowMs()), TimeUnit.MILLISECONDS)) {
@@ -522,22 +522,22 @@
   private void stopListening() {
     clients.stopListening();
     loop.scheduleWithFixedDelay(
-        () -> Turns.afterReading(loop, this::checkAllResponsesSent),
+        () -> SocketPolling.afterPoll(loop, this::checkAllResponsesSent),
         DRAIN_CHECK_INTERVAL_MS,
         DRAIN_CHECK_INTERVAL_MS,
         TimeUnit.MILLISECONDS);
   }
 
   private void checkAllResponsesSent() {
-    if (clients.hasNobodyWaiting()) {
+    if (clients.hasNoPendingClients()) {
       drained.countDown();
     }
   }
 
   /** Answers all pending requests now, as failed or refused, as SIGKILL may follow soon. */
-  private void settle() {
+  private void answerAll() {
     dispatcher.failAll();
-    clients.settle();
+    clients.rejectIncompleteRequests();
     allAnswered.countDown();
   }
 
@@ -546,7 +546,7 @@
       loop.submit(
               () -> {
                 if (clients != null) {
-                  clients.checkExit();
+                  clients.reportUnansweredAtExit();
                 }
               })
           .await(ShutdownPlan.STALLED_LOOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/hazelspoke/node/WarmUp.java
+++ b/src/main/java/hazelspoke/node/WarmUp.java
@@ -2,8 +2,8 @@
 
 import hazelspoke.core.Client;
 import hazelspoke.core.Log;
-import hazelspoke.net.LocalSockets;
 import hazelspoke.net.Transport;
+import hazelspoke.net.UnixSocketSupport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -86,7 +86,7 @@
       deleteSockets(socketFolder);
       Files.createDirectory(socketFolder);
       try {
-        if (LocalSockets.carry(socketFolder.resolve("host"))) {
+        if (UnixSocketSupport.isAvailable(socketFolder.resolve("host"))) {
           exchange(socketFolder.resolve("gateway"), socketFolder.resolve("host"), maxMs);
         } else {
           log.line("no warm-up: Unix domain sockets do not work here");
@@ -109,13 +109,13 @@
   }
 
   private void exchange(Path front, Path host, long maxMs) throws InterruptedException {
-    Transport transport = Transport.local(front, host);
+    Transport transport = Transport.unixSockets(front, host);
     Gateway gateway =
         new Gateway(config, new PrintStream(OutputStream.nullOutputStream()), transport);
     try {
       new ServerBootstrap()
           .group(gateway.loop)
-          .channel(transport.server())
+          .channel(transport.serverChannelType())
           .childHandler(
               new ChannelInitializer<Channel>() {
                 @Override
@@ -129,7 +129,7 @@
       Bootstrap clients =
           new Bootstrap()
               .group(gateway.loop)
-              .channel(transport.client())
+              .channel(transport.clientChannelType())
               .remoteAddress(UnixDomainSocketAddress.of(front));
       for (int i = 0; i < CLIENTS; i++) {
         connect(clients);
