--- a/src/main/java/hazelspoke/AdapterCommand.java
+++ b/src/main/java/hazelspoke/AdapterCommand.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Command;
 
-/** For its help: {@code adapter} alone never comes here. */
+/** Provides the help of {@code adapter}; {@link Main} runs the command itself. */
 @Command(
     name = "adapter",
     mixinStandardHelpOptions = true,
--- a/src/main/java/hazelspoke/BenchCommand.java
+++ b/src/main/java/hazelspoke/BenchCommand.java
@@ -18,15 +18,15 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Measures what the gateway costs. */
+/** Measures the gateway's use of CPU, memory and network. */
 @Command(
     name = "bench",
     mixinStandardHelpOptions = true,
-    description = "Measure what the gateway costs, beside a control in the same run.",
+    description = "Measure the gateway's overhead, next to a control in the same run.",
     synopsisSubcommandLabel = "COMMAND",
     subcommands = {
-      BenchCommand.OfRelay.class,
-      BenchCommand.OfScale.class,
+      BenchCommand.RelayCommand.class,
+      BenchCommand.ScaleCommand.class,
       BenchCommand.RelayProcess.class,
       BenchCommand.ScaleVoter.class
     })
@@ -35,23 +35,23 @@
 
   @Override
   public void run() {
-    throw new ParameterException(spec.commandLine(), "say what to measure: relay or scale");
+    throw new ParameterException(spec.commandLine(), "a command is missing: relay or scale");
   }
 
-  /** The gateway against a relay. */
+  /** Compares the gateway with a plain TCP relay. */
   @Command(
       name = "relay",
       mixinStandardHelpOptions = true,
       sortOptions = false,
       description = {
-        "Load the gateway, with the flags of 'run' in deploy/balancer.toml, and a bare relay that"
-            + " only passes bytes on, in turns: the same clients and hosts, one core.",
-        "Prints CPU a request, requests a second, latencies, collections and bytes allocated:"
-            + " medians, from least to most, and the ratio."
+        "Load the gateway, with the flags of 'run' in deploy/balancer.toml, and a TCP relay that"
+            + " only forwards bytes, in alternating rounds: the same clients and hosts, one core.",
+        "Prints CPU per request, requests per second, latencies, garbage collections and bytes"
+            + " allocated: medians, minima and maxima, and the ratio."
       },
       exitCodeListHeading = "Exit codes:%n",
-      exitCodeList = {"0:it was measured", "1:a process did not come up", "2:a wrong call"})
-  static final class OfRelay implements Callable<Integer> {
+      exitCodeList = {"0:completed", "1:a process did not start", "2:invalid arguments"})
+  static final class RelayCommand implements Callable<Integer> {
     @Option(names = "--hosts", paramLabel = "N", description = "Default ${DEFAULT-VALUE}.")
     private int hosts = 4;
 
@@ -61,34 +61,34 @@
     @Option(
         names = "--rounds",
         paramLabel = "N",
-        description = "How often each is measured; default ${DEFAULT-VALUE}.")
+        description = "Rounds of each; default ${DEFAULT-VALUE}.")
     private int rounds = 5;
 
     @Option(
         names = "--seconds",
         paramLabel = "S",
-        description = "How long each time; default ${DEFAULT-VALUE}.")
+        description = "Duration of a round; default ${DEFAULT-VALUE}.")
     private double seconds = 5;
 
     @Option(
         names = "--deadline",
         paramLabel = "S",
-        description = "How long clients wait, in seconds; default ${DEFAULT-VALUE}.")
+        description = "Deadline of the clients' requests; default ${DEFAULT-VALUE}.")
     private double deadline = 1;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Write the figures as JSON.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Write the metrics as JSON.")
     private Path json;
 
     @Option(
         names = "--jar",
         paramLabel = "FILE",
-        description = "Measure the gateway of this jar, such as an older build's.")
+        description = "Measure the gateway of this jar, for example of an older build.")
     private Path jar;
 
     @Option(
         names = "--record",
         paramLabel = "FILE",
-        description = "Let Java's flight recorder write a profile of the gateway (.jfr).")
+        description = "Write a Java Flight Recorder profile of the gateway (.jfr).")
     private Path recording;
 
     @Spec private CommandSpec spec;
@@ -96,10 +96,10 @@
     @Override
     public Integer call() throws Exception {
       if (hosts < 1 || clients < 1 || rounds < 1 || seconds <= 0 || deadline <= 0) {
-        throw new ParameterException(spec.commandLine(), "all figures have to be above 0");
+        throw new ParameterException(spec.commandLine(), "all values must be above 0");
       }
       Path home = Path.of(System.getProperty("pumicetray.home", "."));
-      Path own = ownJar();
+      Path currentJar = currentJar();
       RelayBench.Plan plan =
           new RelayBench.Plan(
               hosts,
@@ -108,8 +108,8 @@
               seconds,
               deadline,
               home,
-              jar == null ? own : jar.toAbsolutePath(),
-              own,
+              jar == null ? currentJar : jar.toAbsolutePath(),
+              currentJar,
               recording);
       try {
         Report report = new RelayBench(plan, System.out).run();
@@ -125,29 +125,29 @@
     }
   }
 
-  private static Path ownJar() throws URISyntaxException {
+  private static Path currentJar() throws URISyntaxException {
     return Path.of(BenchCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI())
         .toAbsolutePath();
   }
 
-  /** Slopes by the size of the fleet and of its lists. */
+  /** Measures how costs grow with the size of the fleet and of its host list. */
   @Command(
       name = "scale",
       mixinStandardHelpOptions = true,
       sortOptions = false,
       description = {
         "Measure what grows with the fleet, at several sizes: the record that gateways share, with"
-            + " five voters as processes and all other members hollow on loopback; one gateway's"
+            + " five voters as processes and all other members simulated on loopback; one gateway's"
             + " list and decisions by hosts, classes and tenants.",
-        "Prints a line a figure: the median at each size and the slope through all rounds. Times"
-            + " of the processor are the threads' own."
+        "Prints a line per metric: the median at each size and the slope through all rounds. CPU"
+            + " times are per thread."
       },
       exitCodeListHeading = "Exit codes:%n",
-      exitCodeList = {"0:it was measured", "1:a process did not come up", "2:a wrong call"})
-  static final class OfScale implements Callable<Integer> {
-    private static final int LEAST_MEMBERS = 10;
-    private static final int MOST_MEMBERS = 1_500;
-    private static final int MOST_HOSTS = 20_000;
+      exitCodeList = {"0:completed", "1:a process did not start", "2:invalid arguments"})
+  static final class ScaleCommand implements Callable<Integer> {
+    private static final int MIN_MEMBERS = 10;
+    private static final int MAX_MEMBERS = 1_500;
+    private static final int MAX_HOSTS = 20_000;
 
     @Option(
         names = "--members",
@@ -166,13 +166,13 @@
     @Option(
         names = "--rounds",
         paramLabel = "N",
-        description = "How often each, in turn; default ${DEFAULT-VALUE}.")
+        description = "Rounds of each size, interleaved; default ${DEFAULT-VALUE}.")
     private int rounds = 2;
 
     @Option(
         names = "--idle",
         paramLabel = "S",
-        description = "How long a fleet is watched at rest; default ${DEFAULT-VALUE}.")
+        description = "How long an idle fleet is measured; default ${DEFAULT-VALUE}.")
     private double idle = 10;
 
     @Option(names = "--json", paramLabel = "FILE", description = "Write all rounds as JSON.")
@@ -184,14 +184,15 @@
     public Integer call() throws Exception {
       if (rounds < 1
           || idle <= 0
-          || members.stream().anyMatch(n -> n < LEAST_MEMBERS || n > MOST_MEMBERS)
-          || hosts.stream().anyMatch(n -> n < 1 || n > MOST_HOSTS)) {
+          || members.stream().anyMatch(n -> n < MIN_MEMBERS || n > MAX_MEMBERS)
+          || hosts.stream().anyMatch(n -> n < 1 || n > MAX_HOSTS)) {
         throw new ParameterException(
             spec.commandLine(),
-            "members are from 10 to 1500, hosts from 1 to 20000, and the rest above 0");
+            "members must be from 10 to 1500, hosts from 1 to 20000, and all other values above 0");
       }
       ScaleBench bench =
-          new ScaleBench(new ScaleBench.Plan(members, hosts, rounds, idle, ownJar()), System.out);
+          new ScaleBench(
+              new ScaleBench.Plan(members, hosts, rounds, idle, currentJar()), System.out);
       try {
         bench.run();
         bench.report(System.out, json);
@@ -203,7 +204,7 @@
     }
   }
 
-  /** A voter's own process. */
+  /** Runs one voter as a process. */
   @Command(name = "scale-voter", hidden = true, description = "Run a voter of 'bench scale'.")
   static final class ScaleVoter implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "MEMBERS")
@@ -228,13 +229,13 @@
     }
   }
 
-  /** The relay's own process. */
+  /** Runs the relay as a process. */
   @Command(name = "relay-process", hidden = true, description = "Run the relay of 'bench relay'.")
   static final class RelayProcess implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "PORT", description = "Where it listens.")
+    @Parameters(index = "0", paramLabel = "PORT", description = "Port to listen on.")
     private int port;
 
-    @Parameters(index = "1", paramLabel = "PORTS", split = ",", description = "Its hosts' ports.")
+    @Parameters(index = "1", paramLabel = "PORTS", split = ",", description = "Ports of the hosts.")
     private List<Integer> hosts;
 
     @Override
--- a/src/main/java/hazelspoke/Commands.java
+++ b/src/main/java/hazelspoke/Commands.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The commands for people, a class each, and their help. */
+/** The interactive commands, one class each, and their help. */
 @Command(
     name = "pumicetray",
     mixinStandardHelpOptions = true,
     versionProvider = Commands.Version.class,
-    description = "A load-balancing HTTP gateway, and a place to rehearse its bad days.",
+    description = "A load-balancing HTTP gateway, and rehearsals of its failures.",
     synopsisSubcommandLabel = "COMMAND",
     footer = {
       "",
@@ -46,7 +46,7 @@
     throw new ParameterException(spec.commandLine(), "a command is missing");
   }
 
-  /** The version that was built. */
+  /** Reads the version from the jar. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() throws IOException {
--- a/src/main/java/hazelspoke/DemoCommand.java
+++ b/src/main/java/hazelspoke/DemoCommand.java
@@ -7,12 +7,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Shows the gateway at work. */
+/** Runs the demo rehearsal. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
     description = {
-      "Show the gateway at work: 2 gateways, 12 stock servers and 20 s of traffic, with a server"
+      "Run a short rehearsal: 2 gateways, 12 stock servers and 20 s of traffic, with a server"
           + " that freezes and one that crashes.",
       "Prints a summary and the path of a page with plots."
     })
@@ -20,7 +20,7 @@
   @Option(
       names = "--html",
       paramLabel = "FILE",
-      description = "Where the page goes; default ${DEFAULT-VALUE}.")
+      description = "File for the page; default ${DEFAULT-VALUE}.")
   private Path html = Path.of("target/demo.html");
 
   @Override
@@ -32,7 +32,7 @@
       return Scripts.BAD_SCRIPT;
     }
     Scripts.warmUp(System.out);
-    Results results = Scripts.play(world, script, System.out);
+    Results results = Scripts.run(world, script, System.out);
     return Scripts.report(results, null, html, System.out);
   }
 }
--- a/src/main/java/hazelspoke/FleetCommand.java
+++ b/src/main/java/hazelspoke/FleetCommand.java
@@ -33,22 +33,22 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What operators see of a fleet, and tell it. */
+/** Shows and changes the state of a fleet for operators. */
 @Command(
     name = "fleet",
     mixinStandardHelpOptions = true,
-    description = "See a fleet, vouch for the end of a process, change voters, leave notes.",
+    description = "Show a fleet, confirm that a process has ended, change voters, write notes.",
     synopsisSubcommandLabel = "COMMAND",
     subcommands = {
-      FleetCommand.Status.class,
-      FleetCommand.Check.class,
-      FleetCommand.VouchFor.class,
-      FleetCommand.Voters.class,
-      FleetCommand.Notes.class
+      FleetCommand.StatusCommand.class,
+      FleetCommand.CheckCommand.class,
+      FleetCommand.VouchCommand.class,
+      FleetCommand.VotersCommand.class,
+      FleetCommand.NoteCommand.class
     })
 final class FleetCommand implements Runnable {
-  private static final int UNREACHED = 3;
-  private static final int TURNED_DOWN = 4;
+  private static final int NO_MEMBER_REACHED = 3;
+  private static final int REJECTED = 4;
 
   @Spec private CommandSpec spec;
 
@@ -57,13 +57,13 @@
     throw new ParameterException(spec.commandLine(), "a command is missing");
   }
 
-  /** Something to do with a member, whichever can be reached. */
-  private interface Errand {
+  /** An action on the first member that can be reached. */
+  private interface MemberAction {
     int run(OperatorClient member) throws IOException, MalformedException;
   }
 
-  /** What all of them have in common. */
-  private abstract static class OfFleet implements Callable<Integer> {
+  /** Options and connection handling of all fleet commands. */
+  private abstract static class MemberCommand implements Callable<Integer> {
     @Spec CommandSpec spec;
 
     @Option(
@@ -75,7 +75,7 @@
     @Option(
         names = "--at",
         paramLabel = "HOST:PORT",
-        description = "The member to ask; default: the first of the file that answers.")
+        description = "The member to contact; default: the first in the file that responds.")
     private String at;
 
     @Option(
@@ -96,7 +96,7 @@
       return spec.commandLine().getErr();
     }
 
-    int with(Errand errand) {
+    int withMember(MemberAction action) {
       FleetSettings fleet;
       try {
         fleet = settings();
@@ -108,16 +108,16 @@
         err().println("the operator's file has no section [fleet]");
         return 1;
       }
-      String why = "";
+      String failure = "";
       for (InetSocketAddress address : addresses(fleet)) {
         try (OperatorClient member = new OperatorClient(address, fleet.member().fleet())) {
-          return errand.run(member);
+          return action.run(member);
         } catch (IOException | MalformedException e) {
-          why = Addresses.text(address) + ": " + e.getMessage();
-          err().println("pumicetray: " + why);
+          failure = Addresses.text(address) + ": " + e.getMessage();
+          err().println("pumicetray: " + failure);
         }
       }
-      return UNREACHED;
+      return NO_MEMBER_REACHED;
     }
 
     private FleetSettings settings() throws OperatorConfigException {
@@ -136,48 +136,49 @@
       }
       InetSocketAddress address = Addresses.parse(at);
       if (address == null) {
-        throw new ParameterException(spec.commandLine(), "--at is no address and port: " + at);
+        throw new ParameterException(
+            spec.commandLine(), "--at is not an address with a port: " + at);
       }
       return List.of(address);
     }
 
-    /** Tells what has become of a command. */
-    int tell(CommandResult answer) {
+    /** Prints the outcome of a command. */
+    int printOutcome(CommandResult answer) {
       if (answer.succeeded()) {
         out().println("done");
         return 0;
       }
       err().println("not done: " + answer.reason());
-      return TURNED_DOWN;
+      return REJECTED;
     }
 
-    /** One that nobody else has, so that a command given twice by mistake is another one. */
+    /** Returns a unique origin, so that a command entered twice counts as two commands. */
     static String origin() {
       return "operator/" + Long.toHexString(new SecureRandom().nextLong());
     }
   }
 
-  /** Prints what one member knows. */
+  /** Prints the state that one member knows. */
   @Command(
       name = "status",
       mixinStandardHelpOptions = true,
       description = {
-        "What a member knows of its fleet, also one that is cut off: then its word is old, and it"
-            + " says how old."
+        "Print the state of the fleet as a member knows it. A partitioned member prints an outdated"
+            + " state and its age."
       })
-  static final class Status extends OfFleet {
-    @Option(names = "--json", description = "As JSON.")
+  static final class StatusCommand extends MemberCommand {
+    @Option(names = "--json", description = "Print JSON.")
     private boolean json;
 
-    @Option(names = "--watch", description = "Again each second, until interrupted.")
+    @Option(names = "--watch", description = "Repeat every second until interrupted.")
     private boolean watch;
 
     @Override
     public Integer call() throws Exception {
-      int status = with(this::print);
+      int status = withMember(this::print);
       while (watch) {
         Thread.sleep(1_000);
-        status = with(this::print);
+        status = withMember(this::print);
       }
       return status;
     }
@@ -198,9 +199,11 @@
               in.text("fleet"),
               in.text("self"),
               in.number("age_ms") < 0
-                  ? "current at no known time"
+                  ? "of unknown age"
                   : String.format(Locale.ROOT, "current %.1f s ago", in.number("age_ms") / 1e3),
-              in.truth("holds") ? "" : "; " + in.text("self") + " is alone: this may be old"));
+              in.truth("holds")
+                  ? ""
+                  : "; " + in.text("self") + " is partitioned: this may be outdated"));
       String leader = in.text("leader");
       List<String> voters = in.texts("voters");
       out.append(
@@ -261,73 +264,73 @@
     }
   }
 
-  /** Says what a further loss would cost. */
+  /** Checks whether the record tolerates the loss of another voter. */
   @Command(
       name = "check",
       mixinStandardHelpOptions = true,
       description =
-          "What the loss of one more voter would cost. Exit code 4: the record would stop.")
-  static final class Check extends OfFleet {
+          "Check the effect of losing one more voter. Exit code 4: the record would become unavailable.")
+  static final class CheckCommand extends MemberCommand {
     @Override
     public Integer call() {
-      return with(
+      return withMember(
           member -> {
             Fields in = member.read(patienceMs());
             List<String> voters = in.texts("voters");
-            List<String> there = new ArrayList<>();
+            List<String> active = new ArrayList<>();
             for (Fields session : in.list("sessions")) {
               if (session.text("standing").equals("THERE")
                   && voters.contains(session.text("member"))) {
-                there.add(session.text("member"));
+                active.add(session.text("member"));
               }
             }
             int majority = voters.size() / 2 + 1;
-            int spare = there.size() - majority;
+            int spareVoters = active.size() - majority;
             out()
                 .printf(
-                    "%d of %d voters are there (%s); a majority is %d%n",
-                    there.size(), voters.size(), String.join(" ", there), majority);
+                    "%d of %d voters are active (%s); a majority is %d%n",
+                    active.size(), voters.size(), String.join(" ", active), majority);
             out()
                 .println(
-                    spare > 0
-                        ? "the record bears the loss of " + spare + " more"
-                        : "the loss of one more stops the record: nothing can be agreed on then,"
+                    spareVoters > 0
+                        ? "the record tolerates the loss of " + spareVoters + " more"
+                        : "the loss of one more makes the record unavailable: it accepts no commands then,"
                             + " requests are served as before");
             out().flush();
-            return spare > 0 ? 0 : TURNED_DOWN;
+            return spareVoters > 0 ? 0 : REJECTED;
           });
     }
   }
 
-  /** Declares a process over. */
+  /** Confirms that a process has ended. */
   @Command(
       name = "vouch",
       mixinStandardHelpOptions = true,
       description = {
-        "Declare that the process of a silent member is over. If it still runs, what it does is on"
-            + " you: end it first, or cut its power."
+        "Confirm that the process of an unresponsive member has ended. If it still runs, the record's"
+            + " guarantees are void: end it first, or cut its power."
       })
-  static final class VouchFor extends OfFleet {
+  static final class VouchCommand extends MemberCommand {
     @Parameters(paramLabel = "NAME", description = "The member.")
     private String name;
 
     @Override
     public Integer call() {
       Numbered command = new Numbered(origin(), 1, new Vouch(name));
-      return with(member -> tell(member.command(command, patienceMs())));
+      return withMember(member -> printOutcome(member.command(command, patienceMs())));
     }
   }
 
-  /** Changes whose votes count. */
+  /** Adds or removes a voter. */
   @Command(
       name = "voters",
       mixinStandardHelpOptions = true,
       description = {
-        "Make a member a voter, or end its vote. To replace one whose disk is lost: vouch for its"
-            + " end, start it with an empty folder, then add it; what it was before is removed."
+        "Add or remove a voter. To replace one whose disk is lost: confirm its end with vouch, start"
+            + " it with an empty folder, then add it; its former identity is removed."
       })
-  static final class Voters extends OfFleet {
-    /** Which way. */
+  static final class VotersCommand extends MemberCommand {
+    /** Direction of the change. */
     enum Change {
       ADD,
       REMOVE
@@ -341,7 +344,8 @@
 
     @Override
     public Integer call() {
-      return with(member -> tell(member.voter(change == Change.ADD, name, patienceMs())));
+      return withMember(
+          member -> printOutcome(member.voter(change == Change.ADD, name, patienceMs())));
     }
   }
 
@@ -350,10 +354,10 @@
       name = "note",
       mixinStandardHelpOptions = true,
       description = {
-        "Read a note as it is now, or write one. All members agree on it; what was acknowledged is"
-            + " never lost."
+        "Read the current value of a note, or write one. All members agree on it; acknowledged"
+            + " writes are never lost."
       })
-  static final class Notes extends OfFleet {
+  static final class NoteCommand extends MemberCommand {
     @Parameters(index = "0", paramLabel = "KEY", description = "Its name.")
     private String key;
 
@@ -363,16 +367,16 @@
     @Option(
         names = "--version",
         paramLabel = "N",
-        description = "Write only if it has this version, 0 for none yet.")
+        description = "Write only if the note has this version; 0 if it must not exist.")
     private long expected = -1;
 
     @Override
     public Integer call() {
       if (value == null) {
-        return with(this::print);
+        return withMember(this::print);
       }
       Numbered command = new Numbered(origin(), 1, new Note(key, expected, value));
-      return with(member -> tell(member.command(command, patienceMs())));
+      return withMember(member -> printOutcome(member.command(command, patienceMs())));
     }
 
     private int print(OperatorClient member) throws IOException, MalformedException {
@@ -384,7 +388,7 @@
         }
       }
       err().println("there is no note " + key);
-      return TURNED_DOWN;
+      return REJECTED;
     }
   }
 }
--- a/src/main/java/hazelspoke/Main.java
+++ b/src/main/java/hazelspoke/Main.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * The command line. What a deployment and its build start is looked for first and goes its way at
- * once: {@code serve}, {@code adapter} and {@code archive} load no class of the commands for
- * people.
+ * Entry point of the command line. The commands that a deployment and its build use, {@code serve},
+ * {@code adapter} and {@code archive}, are dispatched first and load no class of the interactive
+ * commands.
  */
 public final class Main {
   private Main() {}
@@ -21,7 +21,7 @@
     }
   }
 
-  /** Runs a command; the exit status is 0, 1 for bad input, 2 for a wrong call, or a command's. */
+  /** Runs a command; returns 0, 1 for invalid input, 2 for invalid arguments, or its own status. */
   static int run(String[] args, Map<String, String> environment) {
     switch (args.length == 1 ? args[0] : "") {
       case "serve" -> {
--- a/src/main/java/hazelspoke/RehearseCommand.java
+++ b/src/main/java/hazelspoke/RehearseCommand.java
@@ -10,23 +10,23 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Plays a script against gateways. */
+/** Runs a script against gateways. */
 @Command(
     name = "rehearse",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description = {
-      "Play a script: stock servers, clients, discovery and faults on loopback around real"
-          + " gateways, and a judge who counts by himself.",
-      "Scripts that come along are in rehearsals/."
+      "Run a script: stock servers, clients, discovery and faults on loopback around real"
+          + " gateways, and an independent checker of their rules.",
+      "Example scripts are in rehearsals/."
     },
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {
-      "0:every rule was kept",
-      "1:the script cannot be played",
-      "2:a wrong call",
-      "3:a rule was broken, or a gateway crashed",
-      "4:the emulator itself ran late; the rehearsal counts for nothing"
+      "0:no rule was violated",
+      "1:the script is invalid",
+      "2:invalid arguments",
+      "3:a rule was violated, or a gateway crashed",
+      "4:the emulator itself ran late; the result is not valid"
     })
 final class RehearseCommand implements Callable<Integer> {
   @Mixin private RunOptions options;
@@ -34,7 +34,7 @@
   @Option(
       names = "--repeat",
       paramLabel = "N",
-      description = "Play it N times with one seed, and print how far the latencies lie apart.")
+      description = "Run it N times with one seed, and print the spread of the latencies.")
   private int repeat = 1;
 
   @Override
@@ -44,17 +44,17 @@
       return Scripts.BAD_SCRIPT;
     }
     Scripts.warmUp(System.out);
-    List<Results> all = new ArrayList<>();
-    int status = Scripts.KEPT;
+    List<Results> allResults = new ArrayList<>();
+    int status = Scripts.RULES_KEPT;
     for (int i = 0; i < Math.max(1, repeat); i++) {
-      // Drawn anew: that the digests agree is something to be seen, not to be taken for granted.
-      World again = i == 0 ? world : options.world();
-      Results results = options.play(again);
-      all.add(results);
+      // Drawn again for each run, so that equal digests show that the draw is deterministic.
+      World freshWorld = i == 0 ? world : options.world();
+      Results results = options.run(freshWorld);
+      allResults.add(results);
       status = Math.max(status, options.report(results));
     }
     if (repeat > 1) {
-      System.out.println(Spread.of(all));
+      System.out.println(Spread.of(allResults));
     }
     return status;
   }
--- a/src/main/java/hazelspoke/RunOptions.java
+++ b/src/main/java/hazelspoke/RunOptions.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What is said to every command that plays one script. */
+/** The options that all commands for running one script share. */
 final class RunOptions {
   @Parameters(paramLabel = "SCRIPT", description = "A script in TOML.")
   private Path script;
@@ -15,7 +15,7 @@
   @Option(
       names = "--seed",
       paramLabel = "N",
-      description = "What chance draws from; default ${DEFAULT-VALUE}.")
+      description = "Random seed; default ${DEFAULT-VALUE}.")
   private long seed = 1;
 
   @Option(names = "--json", paramLabel = "FILE", description = "Write the results as JSON.")
@@ -35,17 +35,17 @@
     return seed;
   }
 
-  /** The world of the script; null, after one line, for one that cannot be played. */
+  /** Creates the world of the script; returns null, after one error line, if it is invalid. */
   World world() {
     return Scripts.world(script, seed, System.err);
   }
 
-  /** Plays a world of this script once. */
-  Results play(World world) throws IOException, InterruptedException {
-    return Scripts.play(world, script, System.out);
+  /** Runs a world of this script once. */
+  Results run(World world) throws IOException, InterruptedException {
+    return Scripts.run(world, script, System.out);
   }
 
-  /** Prints the results, writes the files that are asked for, and returns the exit status. */
+  /** Prints the results, writes the requested files, and returns the exit status. */
   int report(Results results) throws IOException {
     return Scripts.report(results, json, html, System.out);
   }
--- a/src/main/java/hazelspoke/Scripts.java
+++ b/src/main/java/hazelspoke/Scripts.java
@@ -21,46 +21,47 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** What the commands that play scripts have in common. */
+/** Shared steps of the commands that run scripts. */
 final class Scripts {
-  static final int KEPT = 0;
+  static final int RULES_KEPT = 0;
   static final int BAD_SCRIPT = 1;
-  static final int BROKEN = 3;
+  static final int RULE_VIOLATED = 3;
   static final int RAN_LATE = 4;
 
   private Scripts() {}
 
-  /** Reads a script and draws its world; null, after one line, for one that cannot be played. */
+  /** Reads a script and draws its world; returns null, after one error line, if it is invalid. */
   static World world(Path script, long seed, PrintStream err) {
     try {
       return World.draw(ScriptReader.read(script.toString(), Files.readString(script)), seed);
     } catch (ScriptException e) {
       err.println("pumicetray: " + e.getMessage());
     } catch (IOException e) {
-      err.println("pumicetray: " + script + ": this file cannot be read");
+      err.println("pumicetray: " + script + ": cannot be read");
     }
     return null;
   }
 
-  /** Lets the emulator's own code be compiled before anything counts. */
+  /** Runs the emulator until its code is compiled, before anything is measured. */
   static void warmUp(PrintStream progress) throws IOException, InterruptedException {
     progress.println("warming up the emulator, 4 s");
-    inFolder(
+    inTemporaryFolder(
         folder -> {
           EmulatorWarmUp.run(folder);
           return null;
         });
   }
 
-  private interface Play {
-    Results in(Path folder) throws IOException, InterruptedException;
+  private interface FolderAction {
+    Results apply(Path folder) throws IOException, InterruptedException;
   }
 
-  /** A folder that goes with what was done in it. */
-  private static Results inFolder(Play play) throws IOException, InterruptedException {
+  /** Runs an action in a temporary folder, which is deleted afterwards. */
+  private static Results inTemporaryFolder(FolderAction run)
+      throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("rehearsal");
     try {
-      return play.in(folder);
+      return run.apply(folder);
     } finally {
       try (Stream<Path> files = Files.walk(folder)) {
         for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
@@ -70,13 +71,13 @@
     }
   }
 
-  /** Plays a world once, in a folder of its own that goes with it. */
-  static Results play(World world, Path script, PrintStream progress)
+  /** Runs a world once in a temporary folder. */
+  static Results run(World world, Path script, PrintStream progress)
       throws IOException, InterruptedException {
-    return inFolder(folder -> play(world, script, progress, folder));
+    return inTemporaryFolder(folder -> run(world, script, progress, folder));
   }
 
-  private static Results play(World world, Path script, PrintStream progress, Path folder)
+  private static Results run(World world, Path script, PrintStream progress, Path folder)
       throws IOException, InterruptedException {
     Files.copy(script, folder.resolve("script.toml"));
     Path home = Path.of(System.getProperty("pumicetray.home", "."));
@@ -84,7 +85,7 @@
         world.script().fleet().inProcess()
             ? new LocalGateways()
             : new ProcessGateways(home, world.script().fleet().sockets());
-    List<String> self =
+    List<String> javaCommand =
         List.of(
             ProcessHandle.current().info().command().orElse("java"),
             "-XX:+UseSerialGC",
@@ -92,11 +93,11 @@
             "-cp",
             System.getProperty("java.class.path"),
             "hazelspoke.Main");
-    ApartHosts apart = new ApartHosts(self, folder, world.seed());
+    ApartHosts apart = new ApartHosts(javaCommand, folder, world.seed());
     return new Rehearsal(world, launcher, apart, folder, progress).run();
   }
 
-  /** Prints the results, writes the files that are asked for, and returns the exit status. */
+  /** Prints the results, writes the requested files, and returns the exit status. */
   static int report(Results results, Path json, Path html, PrintStream out) throws IOException {
     new TextReport(out).print(results);
     if (json != null) {
@@ -111,7 +112,7 @@
   }
 
   static int status(Results results) {
-    return results.late().ranLate() ? RAN_LATE : results.kept() ? KEPT : BROKEN;
+    return results.late().ranLate() ? RAN_LATE : results.kept() ? RULES_KEPT : RULE_VIOLATED;
   }
 
   private static void write(Path file, String text) throws IOException {
--- a/src/main/java/hazelspoke/ServeCommand.java
+++ b/src/main/java/hazelspoke/ServeCommand.java
@@ -9,18 +9,18 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** For its help: {@code serve} alone never comes here. */
+/** Runs {@code serve} with options; {@link Main} runs it without. */
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
     description = {
-      "Run one gateway, as the file that the variable NODE_CONFIG names tells it.",
-      "The operator's file adds what is off without it, such as the fleet's record.",
-      "SIGHUP: read discovery's address, classes and limits again.",
-      "SIGTERM: finish what was taken, and leave."
+      "Run one gateway with the configuration file that the variable NODE_CONFIG names.",
+      "The operator's file turns on what is off by default, such as the fleet's record.",
+      "SIGHUP: reload discovery's address, classes and limits.",
+      "SIGTERM: finish accepted requests and shut down."
     },
     exitCodeListHeading = "Exit codes:%n",
-    exitCodeList = {"0:left after SIGTERM", "1:the configuration cannot be used"})
+    exitCodeList = {"0:shut down by SIGTERM", "1:the configuration is invalid"})
 final class ServeCommand implements Callable<Integer> {
   @Option(
       names = "--config",
--- a/src/main/java/hazelspoke/StockServerCommand.java
+++ b/src/main/java/hazelspoke/StockServerCommand.java
@@ -10,32 +10,32 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** One stock server of a script's, until it is killed; the rehearsal starts these itself. */
+/** Runs one stock server of a script until it is killed; started by rehearsals. */
 @Command(
     name = "stock-server",
     mixinStandardHelpOptions = true,
     description = {
-      "Run one stock server of a script's as a process of its own, until it is killed.",
-      "A rehearsal starts these itself, for the hosts that its script names as apart."
+      "Run one stock server of a script as a separate process, until it is killed.",
+      "A rehearsal starts these itself, for the hosts that its script lists under apart."
     })
 final class StockServerCommand implements Callable<Integer> {
   @Parameters(paramLabel = "SCRIPT", description = "The script that the server belongs to.")
   private Path script;
 
-  @Option(names = "--seed", description = "Of the rehearsal; default ${DEFAULT-VALUE}.")
+  @Option(names = "--seed", description = "Seed of the rehearsal; default ${DEFAULT-VALUE}.")
   private long seed = 1;
 
-  @Option(names = "--name", required = true, description = "Which of the script's servers.")
+  @Option(names = "--name", required = true, description = "Name of the server in the script.")
   private String name;
 
   @Option(
       names = "--listen",
       required = true,
       paramLabel = "IP:PORT",
-      description = "Where it listens.")
+      description = "Address to listen on.")
   private String listen;
 
-  @Option(names = "--zero", description = "The rehearsal's 0, on the monotonic clock.")
+  @Option(names = "--zero", description = "Start of the rehearsal on the monotonic clock, in ns.")
   private long zero = System.nanoTime();
 
   @Option(names = "--cold", description = "Start cold.")
--- a/src/main/java/hazelspoke/TormentCommand.java
+++ b/src/main/java/hazelspoke/TormentCommand.java
@@ -26,27 +26,27 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Plays a script with faults drawn between and at its processes. */
+/** Runs a script with random faults at its processes and in their connections. */
 @Command(
     name = "torment",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description = {
-      "Play a script's fleet and load with every gateway a process, a relay between each gateway and"
-          + " each server, and faults drawn from a seed: at processes and between them.",
-      "If a rule breaks, the faults are tried again in parts, and the few that are needed are"
-          + " printed as a script."
+      "Run a script's fleet and load with each gateway as a process, a relay between each gateway"
+          + " and each server, and faults drawn from a seed: at processes and in their connections.",
+      "If a rule is violated, subsets of the faults are run again, and a small set that"
+          + " still violates it is printed as a script."
     },
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {
-      "0:every rule was kept",
-      "1:the script cannot be played",
-      "2:a wrong call",
-      "3:a rule was broken, or a gateway crashed",
-      "4:the emulator itself ran late; the play counts for nothing"
+      "0:no rule was violated",
+      "1:the script is invalid",
+      "2:invalid arguments",
+      "3:a rule was violated, or a gateway crashed",
+      "4:the emulator itself ran late; the result is not valid"
     })
 final class TormentCommand implements Callable<Integer> {
-  private static final double MS = 1_000;
+  private static final double MS_PER_S = 1_000;
 
   @Spec private CommandSpec spec;
 
@@ -55,26 +55,26 @@
   @Option(
       names = "--processes",
       paramLabel = "N",
-      description = "So many gateways, 1 to 200; default: as the script has it.")
+      description = "Number of gateways, 1 to 200; default: from the script.")
   private Integer processes;
 
   @Option(
       names = "--for",
       paramLabel = "SECONDS",
-      description = "How long it lasts, 5 to 7200; default: as the script has it.")
+      description = "Duration, 5 to 7200; default: from the script.")
   private Double seconds;
 
   @Option(
       names = "--shrink",
       paramLabel = "N",
-      description = "So many plays at most to find the faults needed; default ${DEFAULT-VALUE}.")
+      description = "Maximum number of runs to find the required faults; default ${DEFAULT-VALUE}.")
   private int shrink = 12;
 
   @Option(
       names = "--needed",
       paramLabel = "FILE",
-      description = "Where the script with the faults needed goes; default: it is printed.")
-  private Path needed;
+      description = "File for the script with the required faults; default: it is printed.")
+  private Path outputFile;
 
   @Override
   public Integer call() throws Exception {
@@ -82,31 +82,31 @@
     if (read == null) {
       return Scripts.BAD_SCRIPT;
     }
-    Script all = tormented(read.script());
+    Script script = withDrawnFaults(read.script());
     Scripts.warmUp(System.out);
-    Results results = options.play(World.draw(all, options.seed()));
+    Results results = options.run(World.draw(script, options.seed()));
     int status = options.report(results);
-    if (status == Scripts.BROKEN) {
-      shrink(all);
+    if (status == Scripts.RULE_VIOLATED) {
+      shrink(script);
     }
     return status;
   }
 
-  private Script tormented(Script as) {
-    double ms = seconds == null ? as.lengthMs() : MS * seconds;
-    int gateways = processes == null ? as.fleet().gateways() : processes;
-    require(ms >= 5 * MS && ms <= 7_200 * MS, "--for: expected 5 to 7200 seconds");
+  private Script withDrawnFaults(Script base) {
+    double ms = seconds == null ? base.lengthMs() : MS_PER_S * seconds;
+    int gateways = processes == null ? base.fleet().gateways() : processes;
+    require(ms >= 5 * MS_PER_S && ms <= 7_200 * MS_PER_S, "--for: expected 5 to 7200 seconds");
     require(
-        gateways >= as.fleet().sites().size() && gateways <= 200,
-        "--processes: expected one for each site at least, and 200 at most");
-    require(
-        as.fleet().apart().isEmpty(), options.script() + ": fleet.apart: expected it to be empty");
-    Script longer = as.withProcesses(gateways, ms);
-    List<Fault> faults = new ArrayList<>(as.faults());
+        gateways >= base.fleet().sites().size() && gateways <= 200,
+        "--processes: expected at least one for each site, and 200 at most");
+    require(base.fleet().apart().isEmpty(), options.script() + ": fleet.apart: must be empty");
+    Script longer = base.withProcesses(gateways, ms);
+    List<Fault> faults = new ArrayList<>(base.faults());
     faults.addAll(FaultDraw.draw(longer, options.seed()));
     faults.sort(Comparator.comparingDouble(Fault::atMs));
     try {
-      // Read again, so that what a broken play prints is what was played, and is checked as such.
+      // Written and read again, so that the script printed after a violation is the one that ran
+      // and is validated.
       String text = ScriptWriter.write(longer.withFaults(faults));
       return ScriptReader.read(options.script() + " with these options", text);
     } catch (ScriptException e) {
@@ -114,47 +114,52 @@
     }
   }
 
-  private void require(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new ParameterException(spec.commandLine(), otherwise);
+  private void require(boolean condition, String message) {
+    if (!condition) {
+      throw new ParameterException(spec.commandLine(), message);
     }
   }
 
-  private void shrink(Script all) throws InterruptedException, IOException {
+  private void shrink(Script script) throws InterruptedException, IOException {
     PrintStream quiet = new PrintStream(OutputStream.nullOutputStream());
-    int[] play = new int[1];
+    int[] run = new int[1];
     Shrinker<Fault> shrinker =
         new Shrinker<>(
             faults -> {
-              boolean broken = breaks(all.withFaults(faults), quiet);
+              boolean violated = violatesRule(script.withFaults(faults), quiet);
               System.out.printf(
-                  "  play %d, %d faults: %s%n",
-                  ++play[0], faults.size(), broken ? "broken" : "kept");
-              return broken;
+                  "  run %d, %d faults: %s%n",
+                  ++run[0], faults.size(), violated ? "rule violated" : "rules kept");
+              return violated;
             },
             shrink);
-    System.out.printf("a rule was broken: which of %d faults does it take?%n", all.faults().size());
-    Shrinker.Found<Fault> found = shrinker.shrink(all.faults());
     System.out.printf(
-        "%d of %d faults, after %d plays%s%n",
+        "a rule was violated: searching for the required ones of %d faults%n",
+        script.faults().size());
+    Shrinker.Found<Fault> found = shrinker.shrink(script.faults());
+    System.out.printf(
+        "%d of %d faults, after %d runs%s%n",
         found.causes().size(),
-        all.faults().size(),
+        script.faults().size(),
         found.tries(),
-        found.minimal() ? ": with one less it was kept" : "; fewer may do: see --shrink");
-    String text = ScriptWriter.write(all.withFaults(found.causes()));
-    if (needed == null) {
+        found.minimal()
+            ? ": minimal, with any one less the rules were kept"
+            : "; fewer may suffice: see --shrink");
+    String text = ScriptWriter.write(script.withFaults(found.causes()));
+    if (outputFile == null) {
       System.out.println(text);
     } else {
-      Files.writeString(needed, text);
+      Files.writeString(outputFile, text);
       System.out.println(
-          "script: " + needed + ", to be played with rehearse --seed " + options.seed());
+          "script: " + outputFile + ", to be run with rehearse --seed " + options.seed());
     }
   }
 
-  private boolean breaks(Script less, PrintStream quiet) throws InterruptedException {
+  private boolean violatesRule(Script reduced, PrintStream quiet) throws InterruptedException {
     try {
-      return Scripts.status(Scripts.play(World.draw(less, options.seed()), options.script(), quiet))
-          == Scripts.BROKEN;
+      return Scripts.status(
+              Scripts.run(World.draw(reduced, options.seed()), options.script(), quiet))
+          == Scripts.RULE_VIOLATED;
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/main/java/hazelspoke/node/Gateway.java
+++ b/src/main/java/hazelspoke/node/Gateway.java
@@ -251,7 +251,7 @@
     return isServing && (fleet == null || !fleet.isDraining());
   }
 
-  /** Begins or ends a drain by operators, from any thread; returns false if not serving. */
+  /** Begins or ends a drain by operators at once, from any thread; returns false if not serving. */
   boolean setDraining(boolean on) {
     boolean can = isServing;
     if (can) {
@@ -491,7 +491,9 @@
               TimeUnit.MILLISECONDS);
           long answerAllInMs = (long) Math.max(0, plan.answerAllByMs() - clock.nowMs());
           loop.schedule(
-              () -> SocketPolling.afterPoll(loop, this::answerAll), answerAllInMs, TimeUnit.MILLISECONDS);
+              () -> SocketPolling.afterPoll(loop, this::answerAll),
+              answerAllInMs,
+              TimeUnit.MILLISECONDS);
         });
     try {
       if (!drained.await(plan.remainingMs(clock.nowMs()), TimeUnit.MILLISECONDS)) {
