--- a/src/test/java/hazelspoke/node/DeployedCommandTest.java
+++ b/src/test/java/hazelspoke/node/DeployedCommandTest.java
@@ -7,25 +7,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command that platforms start, where little but TCP is allowed. */
+/** The deployed command on a platform that allows little but TCP. */
 class DeployedCommandTest {
   @Test
-  void itIsOneProcessThatServesWithNeitherFileSocketsNorOtherPrograms(@TempDir Path folder)
-      throws Exception {
+  void servesAsOneProcessWithoutUnixSocketsAndOtherPrograms(@TempDir Path folder) throws Exception {
     try (FakeServer host =
             new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(2, host))) {
       try (ServeProcess gateway =
           ServeProcess.start(
               folder,
-              ServeProcess.deployed(),
+              ServeProcess.deployedCommand(),
               false,
               discovery.address(),
               "-Djava.security.manager=" + RestrictedPlatform.class.getName(),
               "-Xlog:class+load:file=" + folder.resolve("classes"))) {
         gateway.awaitAnswer("done");
-        assertThat(gateway.ask()).as(gateway.log()).endsWith("done");
-        // By exec: what was started is the gateway itself, with nobody beside it.
+        assertThat(gateway.sendRequest()).as(gateway.log()).endsWith("done");
+        // The command uses exec: the started process is the gateway itself and has no children.
         assertThat(gateway.process.info().command().orElse("")).endsWith("java");
         assertThat(gateway.process.descendants()).isEmpty();
         assertThat(gateway.log()).contains("no warm-up").doesNotContain("Exception");
--- a/src/test/java/hazelspoke/node/EarlyShutdownTest.java
+++ b/src/test/java/hazelspoke/node/EarlyShutdownTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** SIGTERM about the moment at which the gateway begins to listen. */
+/** SIGTERM at about the time at which the gateway begins to listen. */
 class EarlyShutdownTest {
   private final ByteArrayOutputStream log = new ByteArrayOutputStream();
   private FakeServer host;
@@ -38,38 +38,40 @@
     host.close();
   }
 
-  private Map<String, String> configured(String listen) throws Exception {
+  private Map<String, String> writeConfig(String listen) throws Exception {
     Files.writeString(file, Rig.config(listen, 160, discovery.address(), Rig.list(1, host)));
     return Map.of("NODE_CONFIG", file.toString());
   }
 
-  /** It cannot listen: whatever was asked for before that was asked for before any client came. */
+  /** The address is in use, so every hook must have been registered before clients can connect. */
   @Test
-  void whatRunsAtShutdownIsInPlaceBeforeTheFirstClientCanConnect() throws Exception {
+  void registersShutdownHookBeforeTheFirstClientCanConnect() throws Exception {
     List<Thread> hooks = new ArrayList<>();
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      Map<String, String> environment = configured("127.0.0.1:" + taken.getLocalPort());
+    try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      Map<String, String> environment = writeConfig("127.0.0.1:" + occupied.getLocalPort());
       assertThat(Gateway.serve(environment, new PrintStream(log, true), hooks::add)).isEqualTo(1);
     }
     assertThat(hooks).hasSize(1);
-    // The process ends now, and this runs: there is nothing to wait for.
+    // The process exits now and runs the hook, which must not wait for anything.
     hooks.get(0).run();
     assertThat(log.toString()).contains("cannot be listened on").doesNotContain("Exception");
   }
 
   @Test
-  void toldToEndBeforeItListensItNeverDoes() throws Exception {
+  void neverListensAfterShutdownBeforeTheStart() throws Exception {
     Gateway gateway =
         new Gateway(
-            GatewayConfig.read(configured("127.0.0.1:0")),
+            GatewayConfig.read(writeConfig("127.0.0.1:0")),
             new PrintStream(log, true),
             Transport.TCP);
-    CountDownLatch goOn = new CountDownLatch(1);
-    gateway.loop.execute(() -> Rig.awaitLatch(goOn));
+    CountDownLatch release = new CountDownLatch(1);
+    gateway.loop.execute(() -> Rig.awaitLatch(release));
     Thread drain = new Thread(gateway::drain);
     drain.start();
-    Rig.await("the leave waits for its turn", () -> drain.getState() == Thread.State.TIMED_WAITING);
-    goOn.countDown();
+    Rig.await(
+        "the shutdown waits for the event loop",
+        () -> drain.getState() == Thread.State.TIMED_WAITING);
+    release.countDown();
     drain.join(Rig.PATIENCE_MS);
     assertThat(drain.isAlive()).isFalse();
     assertThat(log.toString()).isEmpty();
--- a/src/test/java/hazelspoke/node/FullBacklogListener.java
+++ b/src/test/java/hazelspoke/node/FullBacklogListener.java
@@ -9,20 +9,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A host whose queue of new connections is full: what comes now comes up once it is let in. */
+/** A host whose accept queue is full: further connections are established once it accepts. */
 final class FullBacklogListener implements AutoCloseable {
   private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-  private final List<Socket> filling = new ArrayList<>();
+  private final List<Socket> fillers = new ArrayList<>();
 
   FullBacklogListener() throws IOException {
-    boolean room = true;
-    while (room) {
+    boolean hasRoom = true;
+    while (hasRoom) {
       Socket socket = new Socket();
-      filling.add(socket);
+      fillers.add(socket);
       try {
         socket.connect(new InetSocketAddress("127.0.0.1", listener.getLocalPort()), 300);
       } catch (SocketTimeoutException e) {
-        room = false;
+        hasRoom = false;
       }
     }
   }
@@ -31,26 +31,26 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** How many of those that wait to be let in have written anything before they ended. */
+  /** Accepts all waiting connections and returns how many of them sent any byte. */
   int acceptAndCountSenders() throws IOException {
-    for (Socket socket : filling) {
+    for (Socket socket : fillers) {
       socket.close();
     }
-    int spoke = 0;
+    int senders = 0;
     listener.setSoTimeout(3_000);
     try {
       while (true) {
         try (Socket socket = listener.accept()) {
           socket.setSoTimeout(1_000);
-          spoke += speaks(socket) ? 1 : 0;
+          senders += hasSent(socket) ? 1 : 0;
         }
       }
     } catch (SocketTimeoutException e) {
-      return spoke;
+      return senders;
     }
   }
 
-  private static boolean speaks(Socket socket) {
+  private static boolean hasSent(Socket socket) {
     try {
       return socket.getInputStream().read() >= 0;
     } catch (IOException e) {
@@ -60,7 +60,7 @@
 
   @Override
   public void close() throws IOException {
-    for (Socket socket : filling) {
+    for (Socket socket : fillers) {
       socket.close();
     }
     listener.close();
--- a/src/test/java/hazelspoke/node/HostChurnTest.java
+++ b/src/test/java/hazelspoke/node/HostChurnTest.java
@@ -18,10 +18,10 @@
 import ternscale.api.HostEntry;
 import ternscale.api.Settings;
 
-/** Hosts that come and go, and gateways that do. */
+/** Changing hosts, and a gateway that shuts down. */
 class HostChurnTest {
   @Test
-  void poolsGoWithTheirHostsAndAnAddressHasOneHost() throws Exception {
+  void removesPoolsWithTheirHostsAndMapsAnAddressToOneHost() throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
       HostClient hosts =
@@ -53,37 +53,38 @@
   }
 
   @Test
-  void whatWasTakenIsAnsweredBeforeTheGatewayLeaves() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+  void answersAcceptedRequestsBeforeTheGatewayShutsDown() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     try (FakeServer host =
             new FakeServer(
                 (head, out) -> {
                   if (head.contains("X-Hold")) {
-                    held.await();
+                    release.await();
                   }
                   return FakeServer.respond(out, FakeServer.ok("late"));
                 });
         FakeServer discovery = Rig.discovery(Rig.list(2, host));
         Rig rig = new Rig(160, discovery, host);
-        Socket taken = rig.connect();
-        Socket resting = rig.connect()) {
-      Rig.send(resting, Rig.dispatch(Rig.id(), ""));
-      assertThat(Rig.receive(resting)).endsWith("late");
-      Rig.send(taken, Rig.dispatch(Rig.id(), "X-Hold: 1\r\n"));
+        Socket pending = rig.connect();
+        Socket idle = rig.connect()) {
+      Rig.send(idle, Rig.dispatch(Rig.id(), ""));
+      assertThat(Rig.receive(idle)).endsWith("late");
+      Rig.send(pending, Rig.dispatch(Rig.id(), "X-Hold: 1\r\n"));
       Rig.await("the request at the host", () -> host.heads.size() == 2);
-      Thread leaving = new Thread(rig::shutDown);
-      leaving.start();
-      Rig.await("the leave", () -> rig.log.toString().contains("taking leave"));
-      // A client goes on using its connection for as long as that stays open.
-      Rig.send(resting, Rig.dispatch(Rig.id(), ""));
-      assertThat(Rig.receive(resting)).doesNotContain("connection: close").endsWith("late");
-      // Until nothing new is taken; then it ends, while what was taken is still waited for.
-      assertThat(Rig.receive(resting)).isNull();
-      assertThat(leaving.isAlive()).isTrue();
-      held.countDown();
-      assertThat(Rig.receive(taken)).contains("connection: close").endsWith("late");
-      leaving.join(Rig.PATIENCE_MS);
-      assertThat(leaving.isAlive()).isFalse();
+      Thread shutdown = new Thread(rig::shutDown);
+      shutdown.start();
+      Rig.await("the shutdown has begun", () -> rig.log.toString().contains("taking leave"));
+      // A client goes on using its connection as long as that is open.
+      Rig.send(idle, Rig.dispatch(Rig.id(), ""));
+      assertThat(Rig.receive(idle)).doesNotContain("connection: close").endsWith("late");
+      // Once no new requests are accepted, idle connections are closed; the accepted request still
+      // waits.
+      assertThat(Rig.receive(idle)).isNull();
+      assertThat(shutdown.isAlive()).isTrue();
+      release.countDown();
+      assertThat(Rig.receive(pending)).contains("connection: close").endsWith("late");
+      shutdown.join(Rig.PATIENCE_MS);
+      assertThat(shutdown.isAlive()).isFalse();
     }
   }
 }
--- a/src/test/java/hazelspoke/node/LeakLedger.java
+++ b/src/test/java/hazelspoke/node/LeakLedger.java
@@ -5,18 +5,18 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Keeps what Netty finds to have leaked, where it would only log it. The build names this class as
- * the detector of all tests, at the level that watches every buffer (pom.xml).
+ * Collects the leaks that Netty detects, which it would only log otherwise. The build sets this
+ * class as the leak detector of all tests, at the level that tracks every buffer (pom.xml).
  */
 public final class LeakLedger<T> extends ResourceLeakDetector<T> {
   static final List<String> LEAKS = new CopyOnWriteArrayList<>();
 
-  /** What Netty looks for; the interval is that of a lower level. */
+  /** Constructor that Netty calls by reflection; the interval applies to lower levels only. */
   public LeakLedger(Class<?> type, int samplingInterval) {
     super(type, samplingInterval);
   }
 
-  /** As above. */
+  /** Constructor that Netty calls by reflection. */
   public LeakLedger(Class<?> type, int samplingInterval, long maxActive) {
     super(type, samplingInterval);
   }
--- a/src/test/java/hazelspoke/node/LeakTest.java
+++ b/src/test/java/hazelspoke/node/LeakTest.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** No buffer is lost, however requests end; every buffer of the tests is watched. */
+/** Buffer leaks; every buffer of the tests is tracked. */
 class LeakTest {
   private static final int ROUNDS = 30;
   private static final String BROKEN = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf";
 
   @Test
-  void noBufferIsLostHoweverRequestsEnd() throws Exception {
+  void leaksNoBufferHoweverRequestsEnd() throws Exception {
     List<String> answers = new ArrayList<>();
     String body = "x".repeat(60_000);
     try (FakeServer host =
@@ -32,11 +32,11 @@
       for (int i = 0; i < ROUNDS; i++) {
         answers.add(rig.request(Rig.dispatch(Rig.id(), "")));
         answers.add(rig.request("NONSENSE\r\n\r\n"));
-        leave(rig, Rig.dispatch(Rig.id(), ""));
-        leave(rig, Rig.dispatch(Rig.id(), "Content-Length: 50\r\n") + "half");
-        leave(rig, "POST /dispatch HT");
+        sendAndDisconnect(rig, Rig.dispatch(Rig.id(), ""));
+        sendAndDisconnect(rig, Rig.dispatch(Rig.id(), "Content-Length: 50\r\n") + "half");
+        sendAndDisconnect(rig, "POST /dispatch HT");
       }
-      // Once and last: a host that breaks off is passed over for some time.
+      // Once, and last: a host that breaks off a response is skipped for some time.
       answers.add(rig.request(Rig.dispatch("bad-1", "")));
     }
     assertThat(answers).anyMatch(answer -> answer != null && answer.endsWith(body));
@@ -46,7 +46,7 @@
     assertThat(LeakLedger.LEAKS).isEmpty();
   }
 
-  /** The detector works: a buffer that nobody releases is found. */
+  /** Guards against a detector that detects nothing. */
   @Test
   void aLostBufferIsFound() throws Exception {
     ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.PARANOID);
@@ -60,7 +60,7 @@
     assertThat(LeakLedger.LEAKS).isEmpty();
   }
 
-  /** What has leaked is told when a buffer is made after its collection. */
+  /** Triggers reports: Netty reports collected buffers when another one is allocated. */
   private static void findLeaks() {
     for (int i = 0; i < 5; i++) {
       System.gc();
@@ -68,9 +68,9 @@
     }
   }
 
-  private static void leave(Rig rig, String begun) throws IOException {
+  private static void sendAndDisconnect(Rig rig, String partialRequest) throws IOException {
     try (Socket socket = rig.connect()) {
-      Rig.send(socket, begun);
+      Rig.send(socket, partialRequest);
     }
   }
 }
--- a/src/test/java/hazelspoke/node/LoopLagTest.java
+++ b/src/test/java/hazelspoke/node/LoopLagTest.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A gateway that is behind knows it. */
+/** Deadlines of requests that arrive while the event loop is stalled. */
 class LoopLagTest {
-  /** Far longer than the request has, so that no turn of chance lets it seem in time. */
-  private static final long BEHIND_MS = 2_000;
+  /** Far longer than the request's deadline, so that timing noise cannot make it seem in time. */
+  private static final long STALL_MS = 2_000;
 
   @Test
-  void whatLayUnreadUntilItsTimeWasUpIsRefusedAtOnceAndNoHostHearsOfIt() throws Exception {
+  void refusesRequestThatWasUnreadPastItsDeadlineWithoutCallingAHost() throws Exception {
     try (FakeServer host =
             new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("good")));
         FakeServer discovery = Rig.discovery(Rig.list(2, host));
@@ -23,7 +23,7 @@
       rig.gateway.loop.execute(LoopLagTest::block);
       Rig.send(client, Rig.dispatch(Rig.id(), "").replace("20.0", "0.5"));
       assertThat(Rig.receive(client)).startsWith("HTTP/1.1 503");
-      // Such a moment passes: what comes next has its whole time.
+      // After the stall, the next request has its full deadline.
       Rig.send(client, Rig.dispatch(Rig.id(), ""));
       assertThat(Rig.receive(client)).endsWith("good");
       assertThat(host.heads).hasSize(2);
@@ -31,7 +31,7 @@
   }
 
   private static void block() {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BEHIND_MS);
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STALL_MS);
     while (System.nanoTime() < end) {
       Thread.onSpinWait();
     }
--- a/src/test/java/hazelspoke/node/OperationsTest.java
+++ b/src/test/java/hazelspoke/node/OperationsTest.java
@@ -10,19 +10,19 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What operators see and do: the figures, the drain, and both while others misbehave. */
+/** The management listener: metrics, drain, and access to them under load and abuse. */
 class OperationsTest {
   private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
   private static final String OK = FakeServer.ok("done");
   private static final String ERROR = "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n";
 
   @Test
-  void everyEndOfARequestIsCountedOnceAndEveryAttemptThatWentOut() throws Exception {
-    CountDownLatch goOn = new CountDownLatch(1);
+  void countsEachRequestOnceAndEachAttemptThatWasSent() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     FakeServer.Reply reply =
         (head, out) -> {
           if (head.contains("/dispatch/wait")) {
-            goOn.await();
+            release.await();
           }
           return FakeServer.respond(out, head.contains("/dispatch/err") ? ERROR : OK);
         };
@@ -38,13 +38,13 @@
       assertThat(rig.request(err)).contains(" 502 ");
       try (Socket waiting = rig.connect();
           Socket leaving = rig.connect()) {
-        Rig.send(waiting, waits());
-        Rig.send(leaving, waits());
+        Rig.send(waiting, heldRequest());
+        Rig.send(leaving, heldRequest());
         Rig.await("both at the host", () -> host.heads.size() == 6);
         assertThat(rig.metric("in_progress")).isEqualTo(2);
         leaving.close();
-        Rig.await("one gone", () -> rig.metric("in_progress") == 1);
-        goOn.countDown();
+        Rig.await("one has disconnected", () -> rig.metric("in_progress") == 1);
+        release.countDown();
         assertThat(Rig.receive(waiting)).contains("200");
       }
       assertThat(rig.metric("in_progress")).isZero();
@@ -57,9 +57,9 @@
     }
   }
 
-  /** The client reads nothing until its time is over: the answer was ready, and left late. */
+  /** The client reads nothing until after its deadline, so the response was ready but left late. */
   @Test
-  void anAnswerThatItsClientTakesLateIsCountedWithTheReason() throws Exception {
+  void countsLateResponseToSlowReaderWithItsReason() throws Exception {
     String large = FakeServer.ok("x".repeat(16 << 20));
     try (FakeServer host = new FakeServer((head, out) -> FakeServer.respond(out, large));
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
@@ -75,17 +75,17 @@
     }
   }
 
-  private static String waits() {
+  private static String heldRequest() {
     return Rig.dispatch(Rig.id(), "").replace("/dispatch ", "/dispatch/wait ");
   }
 
   @Test
-  void aRefusalCountsAsDroppedAndAnAttemptThatNeverWentOutAsNone() throws Exception {
+  void countsRefusalAsDroppedAndNoAttemptThatWasNotSent() throws Exception {
     try (FakeServer host = new FakeServer((head, out) -> false);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host)) {
       host.close();
-      // A thread that still accepts there keeps the listener for a moment.
+      // A thread that is still in accept() keeps the listener open for a moment.
       Rig.await("nobody listens", () -> FakeServer.refuses(host.address()));
       String none = rig.request(Rig.dispatch(Rig.id(), "").replace("20.0", "0.2"));
       assertThat(none).contains(" 503 ");
@@ -95,14 +95,14 @@
   }
 
   @Test
-  void aDrainSaysNoSendsClientsAwayAndEndsWithoutALoss() throws Exception {
+  void drainFailsHealthChecksMovesClientsAndLosesNoRequest() throws Exception {
     try (FakeServer host = new FakeServer((head, out) -> FakeServer.respond(out, OK));
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(160, discovery, host);
         Socket health = rig.connect();
         Socket busy = rig.connect();
-        Socket resting = rig.connect()) {
-      for (Socket client : List.of(busy, resting)) {
+        Socket idle = rig.connect()) {
+      for (Socket client : List.of(busy, idle)) {
         Rig.send(client, Rig.dispatch(Rig.id(), ""));
         assertThat(Rig.receive(client)).contains("200").doesNotContain("close");
       }
@@ -115,8 +115,8 @@
       Rig.send(busy, Rig.dispatch(Rig.id(), ""));
       assertThat(Rig.receive(busy)).contains("200").containsIgnoringCase("connection: close");
       assertThat(busy.getInputStream().read()).isEqualTo(-1);
-      // Who rests is let go without having asked; who still comes is served.
-      assertThat(resting.getInputStream().read()).isEqualTo(-1);
+      // Idle connections are closed at once; requests on new connections are still served.
+      assertThat(idle.getInputStream().read()).isEqualTo(-1);
       assertThat(rig.request(Rig.dispatch(Rig.id(), ""))).contains("200");
       assertThat(rig.callOperators("POST /_lameduck/off")).startsWith("200");
       assertThat(rig.request(HEALTH)).contains(" 200 ");
@@ -129,14 +129,14 @@
   }
 
   @Test
-  void operatorsAreAnsweredWhileTheLoopIsBusyAndOthersSayNothing() throws Exception {
-    CountDownLatch goOn = new CountDownLatch(1);
-    List<Socket> silent = new ArrayList<>();
+  void respondsToOperatorsWhileTheLoopIsBlockedAndOthersAreIdle() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
+    List<Socket> idle = new ArrayList<>();
     try (FakeServer discovery = Rig.discovery(Rig.list(1));
         Rig rig = new Rig(160, discovery)) {
-      rig.gateway.loop.execute(() -> Rig.awaitLatch(goOn));
+      rig.gateway.loop.execute(() -> Rig.awaitLatch(release));
       for (int i = 0; i < 200; i++) {
-        silent.add(new Socket(rig.operators.getAddress(), rig.operators.getPort()));
+        idle.add(new Socket(rig.operators.getAddress(), rig.operators.getPort()));
       }
       assertThat(rig.callOperators("GET /_ready")).startsWith("200");
       assertThat(rig.callOperators("GET /_vars")).contains("svc.in_progress=0");
@@ -147,17 +147,17 @@
         Rig.send(socket, "\0\1\2 what\r\n\r\n");
         assertThat(Rig.receive(socket)).contains(" 400 ");
       }
-      goOn.countDown();
+      release.countDown();
     } finally {
-      goOn.countDown();
-      for (Socket socket : silent) {
+      release.countDown();
+      for (Socket socket : idle) {
         socket.close();
       }
     }
   }
 
   @Test
-  void nobodyIsToldReadyBeforeClientsAreTakenNorAfterTheLeave() throws Exception {
+  void isNotReadyBeforeClientsAreAccepted() throws Exception {
     try (FakeServer discovery = Rig.discovery(Rig.list(1));
         Rig rig = new Rig(160, discovery)) {
       Gateway early =
--- a/src/test/java/hazelspoke/node/PartitionedMemberTest.java
+++ b/src/test/java/hazelspoke/node/PartitionedMemberTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What a gateway does for its clients while it cannot hear its fleet. */
+/** Service of clients by a gateway that is partitioned from its fleet. */
 class PartitionedMemberTest {
   private static final List<String> NAMES = List.of("g1", "g2", "g3");
 
@@ -54,7 +54,7 @@
     return FleetNode.open(settings(name, Alone.SERVE), line -> {}, () -> {});
   }
 
-  private static String call(InetSocketAddress at, String request) {
+  private static String sendRequest(InetSocketAddress at, String request) {
     try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
       socket.setSoTimeout(Rig.PATIENCE_MS);
       Rig.send(socket, request);
@@ -65,23 +65,23 @@
   }
 
   private static String get(InetSocketAddress at, String path) {
-    return call(at, "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+    return sendRequest(at, "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
   }
 
   @ParameterizedTest
   @EnumSource(Alone.class)
-  void itGoesOnOrTakesNobodyNewAndIsBackWhenItHearsThem(Alone alone) throws Exception {
+  void servesOrDrainsWhilePartitionedAndRecoversAfterwards(Alone alone) throws Exception {
     for (String name : NAMES) {
-      InetAddress own = InetAddress.getByName("127.85.3." + name.substring(1));
-      try (ServerSocket free = new ServerSocket(0, 1, own)) {
-        addresses.put(name, new InetSocketAddress(own, free.getLocalPort()));
+      InetAddress address = InetAddress.getByName("127.85.3." + name.substring(1));
+      try (ServerSocket free = new ServerSocket(0, 1, address)) {
+        addresses.put(name, new InetSocketAddress(address, free.getLocalPort()));
       }
     }
     Path file = folder.resolve("config.json");
     Map<String, String> environment =
         Map.of("NODE_CONFIG", file.toString(), "NODE_MANAGEMENT", "127.0.0.1:0");
     ByteArrayOutputStream log = new ByteArrayOutputStream();
-    List<FleetNode> others = new ArrayList<>(List.of(open("g2"), open("g3")));
+    List<FleetNode> otherMembers = new ArrayList<>(List.of(open("g2"), open("g3")));
     try (FakeServer host =
             new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(1, host))) {
@@ -96,36 +96,38 @@
         gateway.awaitFleet();
         InetSocketAddress clients = (InetSocketAddress) gateway.start();
         Rig.await("ready", () -> get(operators, "/_ready").contains("200"));
-        // Who has joined asks for its first renewal.
-        Rig.await("held", () -> get(operators, "/_vars").contains("svc.fleet.holds=1"));
+        // The session becomes valid with its first renewal, after joining.
+        Rig.await("session is valid", () -> get(operators, "/_vars").contains("svc.fleet.holds=1"));
         assertThat(get(operators, "/_vars")).contains("svc.fleet.joined=1");
 
-        others.forEach(FleetNode::close);
-        others.clear();
-        Rig.await("alone", () -> get(operators, "/_vars").contains("svc.fleet.holds=0"));
+        otherMembers.forEach(FleetNode::close);
+        otherMembers.clear();
+        Rig.await("partitioned", () -> get(operators, "/_vars").contains("svc.fleet.holds=0"));
         boolean serves = alone == Alone.SERVE;
-        Rig.await("told", () -> get(operators, "/_ready").contains("200") == serves);
-        String answer = call(clients, Rig.dispatch(Rig.id(), ""));
-        // What comes all the same is served either way, and told to go elsewhere next.
+        Rig.await("readiness follows", () -> get(operators, "/_ready").contains("200") == serves);
+        String answer = sendRequest(clients, Rig.dispatch(Rig.id(), ""));
+        // Requests that arrive anyway are served; in a drain the client is asked to reconnect
+        // elsewhere.
         assertThat(answer).contains("200").endsWith("done");
         assertThat(answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close"))
             .isEqualTo(!serves);
 
-        others.add(open("g2"));
-        Rig.await("back", () -> get(operators, "/_vars").contains("svc.fleet.holds=1"));
+        otherMembers.add(open("g2"));
+        Rig.await(
+            "session is valid again", () -> get(operators, "/_vars").contains("svc.fleet.holds=1"));
         Rig.await("ready again", () -> get(operators, "/_ready").contains("200"));
-        assertThat(call(clients, Rig.dispatch(Rig.id(), ""))).contains("200");
+        assertThat(sendRequest(clients, Rig.dispatch(Rig.id(), ""))).contains("200");
       } finally {
         gateway.drain();
       }
       assertThat(log.toString(StandardCharsets.UTF_8)).contains("event=joined", "event=alone");
     } finally {
-      others.forEach(FleetNode::close);
+      otherMembers.forEach(FleetNode::close);
     }
   }
 
   @Test
-  void aBadFileIsToldLineByLine() throws Exception {
+  void reportsEachErrorOfTheOperatorsFileOnItsOwnLine() throws Exception {
     Path file = folder.resolve("pumicetray.toml");
     Files.writeString(file, "[fleet]\nname = \"f\"\n[fleet.members]\ng1 = \"x\"\n");
     Path config = folder.resolve("config.json");
--- a/src/test/java/hazelspoke/node/ReloadTest.java
+++ b/src/test/java/hazelspoke/node/ReloadTest.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** New configurations while the gateway runs, and bad ones at its start. */
+/** Reloads of the configuration, and invalid configurations at the start. */
 class ReloadTest {
   @Test
-  void discoveryMovesAndBrokenFilesChangeNothing() throws Exception {
+  void movesDiscoveryAndIgnoresInvalidFiles() throws Exception {
     try (FakeServer first =
             new FakeServer((h, out) -> FakeServer.respond(out, FakeServer.ok("1")));
         FakeServer second =
@@ -38,22 +38,22 @@
       rig.gateway.reload(rig.environment);
       Rig.await("a watch of the new list", () -> after.heads.size() == 1);
       assertThat(after.heads.get(0)).contains("watch=1&from=0 ");
-      Rig.await("the new list's host", () -> served(rig).endsWith("2"));
+      Rig.await("the new list's host", () -> responseToDispatch(rig).endsWith("2"));
       assertThat(after.heads).hasSize(1);
     }
   }
 
-  private static final String SOMETHING = "X-Remaining: 20.0\r\n\r\n";
+  private static final String HEAD_END = "X-Remaining: 20.0\r\n\r\n";
 
   private static String post(String name, String more) {
     return "POST /%s HTTP/1.1\r\nHost: x\r\nX-Lane: %s\r\nX-Txn: %s\r\n%s%s"
-        .formatted(name, name, Rig.id(), more, SOMETHING);
+        .formatted(name, name, Rig.id(), more, HEAD_END);
   }
 
   @Test
-  void classesComeAndGoWhileRequestsOfTheOldOnesAreOpen() throws Exception {
-    CountDownLatch goOn = new CountDownLatch(1);
-    try (FakeServer host = Rig.blockingHost("/dispatch/wait", goOn);
+  void replacesClassesWhileRequestsOfTheOldOnesArePending() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", release);
         FakeServer discovery = Rig.discovery(Rig.list(7, host));
         Rig rig = new Rig(160, discovery, host);
         Socket waiting = rig.connect()) {
@@ -61,23 +61,25 @@
       Rig.send(waiting, post("dispatch", "").replace("/dispatch ", "/dispatch/wait "));
       Rig.await("the host has it", () -> !host.heads.isEmpty());
       String before = rig.config(160, discovery.address());
-      // Dispatch is dropped, haul is new, and look is asked for with a key from now on.
+      // Removes dispatch, adds haul, and makes look require an idempotency key.
       rig.configure(
           before
               .replace("\"dispatch\"", "\"haul\"")
               .replace("\"repeatable\"", "\"by_key\"")
               .replace("\"send_cap\":5", "\"send_cap\":2"));
       rig.gateway.reload(rig.environment);
-      Rig.await("the file is taken", () -> rig.metric("loads") == 1);
+      Rig.await("the file is applied", () -> rig.metric("loads") == 1);
       assertThat(rig.request(post("haul", ""))).contains(" 200 ");
       assertThat(rig.request(post("look", "Idempotency-Key: k1\r\n"))).contains(" 200 ");
-      // Who has not heard yet is served as before, and then no more.
+      // Clients that have not noticed the change are served as before for a while.
       assertThat(rig.request(post("dispatch", ""))).contains(" 200 ");
       String look = post("look", "").replace("POST", "GET");
       assertThat(rig.request(look)).contains(" 200 ");
-      Rig.await("dispatch is gone", () -> ask(rig, post("dispatch", "")).contains(" 404 "));
+      Rig.await(
+          "dispatch is removed",
+          () -> requestUnchecked(rig, post("dispatch", "")).contains(" 404 "));
       assertThat(rig.request(post("look", "").replace("POST", "GET"))).contains(" 405 ");
-      goOn.countDown();
+      release.countDown();
       assertThat(Rig.receive(waiting)).contains(" 200 ");
       assertThat(rig.metric("passed.haul")).isEqualTo(1);
       assertThat(rig.metric("in_progress")).isZero();
@@ -89,36 +91,36 @@
   }
 
   @Test
-  void filesThatAreNotWholeOrMakeNoSenseAreTurnedDownAndChangeNothing() throws Exception {
+  void rejectsIncompleteAndInvalidFilesWithoutAnyChange() throws Exception {
     try (FakeServer host =
             new FakeServer((h, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(7, host));
         FakeServer elsewhere = Rig.discovery(Rig.list(3));
         Rig rig = new Rig(160, discovery, host)) {
       Rig.await("the first watch", () -> discovery.heads.size() == 1);
-      String good = rig.config(160, elsewhere.address()).replace("\"dispatch\"", "\"haul\"");
-      List<String> bad =
+      String valid = rig.config(160, elsewhere.address()).replace("\"dispatch\"", "\"haul\"");
+      List<String> invalid =
           List.of(
               "",
-              good.substring(0, good.length() / 2),
-              good.replace("\"send_cap\":5,", ""),
-              good.replace("\"hard_limit\":20000,", ""),
-              good.replace("\"name\":\"haul\",", ""),
-              good.replace("\"rules\"", "\"rulez\""),
-              good.replace("\"send_cap\":5", "\"send_cap\":0"),
-              good.replace("\"send_cap\":5", "\"send_cap\":-1"),
-              good.replace("\"send_cap\":5", "\"send_cap\":\"many\""),
-              good.replace("\"send_cap\":5", "\"send_cap\":null"),
-              good.replace("\"hard_limit\":20000", "\"hard_limit\":0"),
-              good.replace("\"hard_limit\":20000", "\"hard_limit\":1e999"),
-              good.replace("\"hard_limit\":20000", "\"hard_limit\":\"soon\""),
-              good.replace("\"haul\"", "\"look\""));
-      for (String file : bad) {
-        assertThat(file).isNotEqualTo(good);
+              valid.substring(0, valid.length() / 2),
+              valid.replace("\"send_cap\":5,", ""),
+              valid.replace("\"hard_limit\":20000,", ""),
+              valid.replace("\"name\":\"haul\",", ""),
+              valid.replace("\"rules\"", "\"rulez\""),
+              valid.replace("\"send_cap\":5", "\"send_cap\":0"),
+              valid.replace("\"send_cap\":5", "\"send_cap\":-1"),
+              valid.replace("\"send_cap\":5", "\"send_cap\":\"many\""),
+              valid.replace("\"send_cap\":5", "\"send_cap\":null"),
+              valid.replace("\"hard_limit\":20000", "\"hard_limit\":0"),
+              valid.replace("\"hard_limit\":20000", "\"hard_limit\":1e999"),
+              valid.replace("\"hard_limit\":20000", "\"hard_limit\":\"soon\""),
+              valid.replace("\"haul\"", "\"look\""));
+      for (String file : invalid) {
+        assertThat(file).isNotEqualTo(valid);
         rig.configure(file);
         rig.gateway.reload(rig.environment);
-        long turnedDown = bad.indexOf(file) + 1;
-        Rig.await("turned down: " + file, () -> rig.metric("load_errors") == turnedDown);
+        long rejected = invalid.indexOf(file) + 1;
+        Rig.await("rejected: " + file, () -> rig.metric("load_errors") == rejected);
       }
       assertThat(rig.metric("loads")).isZero();
       assertThat(rig.request(post("haul", ""))).contains(" 404 ");
@@ -128,7 +130,7 @@
     }
   }
 
-  private static String ask(Rig rig, String request) {
+  private static String requestUnchecked(Rig rig, String request) {
     try {
       return rig.request(request);
     } catch (IOException e) {
@@ -136,12 +138,12 @@
     }
   }
 
-  private static String served(Rig rig) {
-    return ask(rig, Rig.dispatch(Rig.id(), ""));
+  private static String responseToDispatch(Rig rig) {
+    return requestUnchecked(rig, Rig.dispatch(Rig.id(), ""));
   }
 
   @Test
-  void aBadConfigurationAtTheStartGetsOneLineAndStatusOne() {
+  void invalidConfigurationAtTheStartPrintsOneLineAndReturnsOne() {
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     int status = Gateway.serve(Map.of("NODE_CONFIG", "/nowhere/config.json"), new PrintStream(err));
     assertThat(status).isEqualTo(1);
--- a/src/test/java/hazelspoke/node/RestrictedPlatform.java
+++ b/src/test/java/hazelspoke/node/RestrictedPlatform.java
@@ -3,14 +3,14 @@
 import java.net.NetPermission;
 import java.security.Permission;
 
-/** A platform that refuses sockets in the file system and the start of other programs. */
+/** A platform that denies Unix domain sockets and the start of other programs. */
 @SuppressWarnings("removal")
 public final class RestrictedPlatform extends SecurityManager {
-  private static final NetPermission FILE_SOCKETS = new NetPermission("accessUnixDomainSocket");
+  private static final NetPermission UNIX_SOCKETS = new NetPermission("accessUnixDomainSocket");
 
   @Override
-  public void checkPermission(Permission asked) {
-    if (FILE_SOCKETS.equals(asked)) {
+  public void checkPermission(Permission permission) {
+    if (UNIX_SOCKETS.equals(permission)) {
       throw new SecurityException("no sockets in the file system here");
     }
   }
--- a/src/test/java/hazelspoke/node/ServeProcess.java
+++ b/src/test/java/hazelspoke/node/ServeProcess.java
@@ -21,62 +21,62 @@
   /** What the deployment's command runs, which is the classes of this build here. */
   private static final String JAR = "-jar target/hazelspoke.jar";
 
-  /** An address of its own, so that a port that was free a moment ago still is. */
+  /** An address that no other test uses, so that a port that was just free is still free. */
   private static final String ADDRESS = "127.83.17.4";
 
   final Process process;
   private final Path folder;
   private final int port;
-  private final int operators;
+  private final int managementPort;
   private final UnaryOperator<String> settings;
 
   private ServeProcess(
-      Path folder, Process process, int port, int operators, UnaryOperator<String> settings) {
+      Path folder, Process process, int port, int managementPort, UnaryOperator<String> settings) {
     this.folder = folder;
     this.process = process;
     this.port = port;
-    this.operators = operators;
+    this.managementPort = managementPort;
     this.settings = settings;
   }
 
-  /** The command of the deployment, which ends in {@code "$@"} in place of its archive. */
-  static String deployed() throws IOException {
+  /** Returns the deployed command, with {@code "$@"} in place of the jar. */
+  static String deployedCommand() throws IOException {
     String run = Toml.parse(Path.of("deploy/balancer.toml")).getString("run");
     assertThat(run).contains(JAR);
     return run.replace(JAR, "\"$@\"");
   }
 
   /**
-   * Starts one that goes by this discovery and knows no host. Operators may call where a port is
-   * kept for them.
+   * Starts a gateway process that uses this discovery and knows no host.
    *
-   * @param shell what the shell does, with {@code "$@"} for the arguments that name the program
-   * @param more further arguments, for the Java
+   * @param shell the shell command, with {@code "$@"} for the arguments that name the program
+   * @param hasManagement whether to set a management address
+   * @param jvmArguments further arguments for the JVM
    */
   static ServeProcess start(
-      Path folder, String shell, boolean operated, String discovery, String... more)
+      Path folder, String shell, boolean hasManagement, String discovery, String... jvmArguments)
       throws IOException {
-    return start(folder, shell, operated, discovery, config -> config, more);
+    return start(folder, shell, hasManagement, discovery, config -> config, jvmArguments);
   }
 
-  /** The same with other settings. */
+  /** Starts a gateway process with changed settings. */
   static ServeProcess start(
       Path folder,
       String shell,
-      boolean operated,
+      boolean hasManagement,
       String discovery,
       UnaryOperator<String> settings,
-      String... more)
+      String... jvmArguments)
       throws IOException {
     int port;
-    int operators;
+    int managementPort;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(ADDRESS));
         ServerSocket another = new ServerSocket(0, 1, InetAddress.getByName(ADDRESS))) {
       port = free.getLocalPort();
-      operators = operated ? another.getLocalPort() : 0;
+      managementPort = hasManagement ? another.getLocalPort() : 0;
     }
     ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", shell, "sh");
-    builder.command().addAll(List.of(more));
+    builder.command().addAll(List.of(jvmArguments));
     builder
         .command()
         .addAll(
@@ -87,17 +87,17 @@
                     + Path.of("target/classes").toAbsolutePath(),
                 "hazelspoke.Main"));
     builder.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
-    if (operated) {
-      builder.environment().put("NODE_MANAGEMENT", ADDRESS + ":" + operators);
+    if (hasManagement) {
+      builder.environment().put("NODE_MANAGEMENT", ADDRESS + ":" + managementPort);
     }
     builder.environment().put("TMPDIR", Files.createDirectory(folder.resolve("tmp")).toString());
     builder.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
-    ServeProcess started = new ServeProcess(folder, null, port, operators, settings);
+    ServeProcess started = new ServeProcess(folder, null, port, managementPort, settings);
     started.configure(discovery);
-    return new ServeProcess(folder, builder.start(), port, operators, settings);
+    return new ServeProcess(folder, builder.start(), port, managementPort, settings);
   }
 
-  /** Writes its file anew, with another discovery. */
+  /** Rewrites the configuration file with another discovery address. */
   void configure(String discovery) throws IOException {
     Files.writeString(
         folder.resolve("config.json"),
@@ -108,24 +108,25 @@
     return Files.readString(folder.resolve("log"));
   }
 
-  /** An answer, or null while nobody listens. */
-  String ask() {
-    return ask(port, Rig.dispatch(Rig.id(), ""));
+  /** Sends a request and returns the response, or null if the connection fails. */
+  String sendRequest() {
+    return sendRequest(port, Rig.dispatch(Rig.id(), ""));
   }
 
-  /** A connection of a client's. */
+  /** Opens a client connection. */
   Socket connect() throws IOException {
     Socket socket = new Socket(ADDRESS, port);
     socket.setSoTimeout(Rig.PATIENCE_MS);
     return socket;
   }
 
-  /** The figures that operators have. */
-  String figures() {
-    return ask(operators, "GET /_vars HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+  /** Reads the metrics from the management listener. */
+  String metrics() {
+    return sendRequest(
+        managementPort, "GET /_vars HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
   }
 
-  private static String ask(int port, String request) {
+  private static String sendRequest(int port, String request) {
     try (Socket socket = new Socket()) {
       socket.connect(new InetSocketAddress(ADDRESS, port));
       socket.setSoTimeout(Rig.PATIENCE_MS);
@@ -136,29 +137,29 @@
     }
   }
 
-  /** Sends the process itself a signal by its name. */
+  /** Sends a signal to the process. */
   void signal(String name) throws Exception {
     List<String> kill = new ArrayList<>(List.of("/bin/sh", "-c", "kill -$0 $1", name));
     kill.add(Long.toString(process.pid()));
     assertThat(new ProcessBuilder(kill).start().waitFor()).isZero();
   }
 
-  /** Waits until it answers with this. */
+  /** Waits until the gateway responds with this body. */
   void awaitAnswer(String text) throws InterruptedException {
     Rig.await(
         "an answer: " + text,
         () -> {
-          String answer = ask();
+          String answer = sendRequest();
           return !process.isAlive() || answer != null && answer.endsWith(text);
         });
   }
 
-  /** Told to leave, it has to. */
+  /** Terminates the process and checks that it exits after SIGTERM. */
   @Override
   public void close() throws Exception {
     process.destroy();
-    boolean left = process.waitFor(Rig.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    boolean exited = process.waitFor(Rig.PATIENCE_MS, TimeUnit.MILLISECONDS);
     process.destroyForcibly().waitFor();
-    assertThat(left).as("it left after SIGTERM").isTrue();
+    assertThat(exited).as("it exited after SIGTERM").isTrue();
   }
 }
--- a/src/test/java/hazelspoke/node/ShutdownProcessTest.java
+++ b/src/test/java/hazelspoke/node/ShutdownProcessTest.java
@@ -17,27 +17,27 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * SIGTERM to a real process while requests are being read: whatever it has read the head of gets a
- * final answer before the process ends, whenever the rest comes and though no host answers.
+ * SIGTERM to a real process while it reads requests: every request whose head was read gets a final
+ * response before the process ends, whenever the remainder arrives and although no host responds.
  */
 class ShutdownProcessTest {
   private static final int CLIENTS = 30;
 
-  /** The last bytes come at these distances, over all of the shutdown and beyond it. */
+  /** Interval between the clients' last bytes, which spread over the shutdown and beyond. */
   private static final int STEP_MS = 45;
 
   private static final String CONTINUE = "100 Continue";
 
-  /** Every other request never becomes whole. */
+  /** Every other request is never completed. */
   private static boolean isCompleted(int client) {
     return client % 2 == 0;
   }
 
   private static Socket begin(ServeProcess gateway) throws IOException {
     Socket client = gateway.connect();
-    String more = "Expect: 100-continue\r\nContent-Length: 2\r\n";
-    Rig.send(client, Rig.dispatch(Rig.id(), more).replace("/dispatch ", "/dispatch/wait "));
-    // The gateway says so once it has read the head.
+    String headers = "Expect: 100-continue\r\nContent-Length: 2\r\n";
+    Rig.send(client, Rig.dispatch(Rig.id(), headers).replace("/dispatch ", "/dispatch/wait "));
+    // The gateway sends this once it has read the head.
     assertThat(Rig.receive(client)).contains(CONTINUE);
     Rig.send(client, "1");
     return client;
@@ -47,14 +47,13 @@
     try {
       Rig.send(client, "2");
     } catch (IOException e) {
-      // The connection has ended: its answer is there, or was never given.
+      // The connection is closed; the response has been sent, or never will be.
     }
   }
 
   @ParameterizedTest
   @ValueSource(ints = {200, 600})
-  void whateverHasBeenReadOfARequestItIsAnswered(int deadlineMs, @TempDir Path folder)
-      throws Exception {
+  void answersEveryRequestWhoseHeadWasRead(int deadlineMs, @TempDir Path folder) throws Exception {
     CountDownLatch never = new CountDownLatch(1);
     ExecutorService readers = Executors.newCachedThreadPool();
     List<Socket> clients = new ArrayList<>();
@@ -64,7 +63,7 @@
         ServeProcess gateway =
             ServeProcess.start(
                 folder,
-                ServeProcess.deployed(),
+                ServeProcess.deployedCommand(),
                 true,
                 discovery.address(),
                 config -> config.replace("\"hard_limit\":20000", "\"hard_limit\":" + deadlineMs))) {
--- a/src/test/java/hazelspoke/node/SignalsTest.java
+++ b/src/test/java/hazelspoke/node/SignalsTest.java
@@ -8,19 +8,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whoever starts a gateway may ignore signals, and it inherits that: no reload may be lost. */
+/** A gateway inherits ignored signals from its parent process. Reloads must work all the same. */
 class SignalsTest {
   private static final String IGNORED = "SIGHUP is ignored";
 
-  /** As {@code nohup} does. */
+  /** Ignores SIGHUP as {@code nohup} does. */
   private static final String NOHUP = "trap '' HUP; ";
 
   private static final String BARE = "exec java \"$@\" serve";
 
   /**
-   * At the old discovery the first host is there; at the new one it drains and the second has come.
+   * The old discovery lists the first host; at the new one that host drains and the second is
+   * ready.
    */
-  private static void reloads(Path folder, String shell, boolean says) throws Exception {
+  private static void checkReload(Path folder, String shell, boolean isIgnored) throws Exception {
     try (FakeServer first = host("first");
         FakeServer second = host("second");
         FakeDiscovery before = new FakeDiscovery(Rig.list(1, first));
@@ -33,15 +34,15 @@
                     Rig.entry(second.address(), "Ready")));
         ServeProcess gateway = ServeProcess.start(folder, shell, true, before.address())) {
       gateway.awaitAnswer("first");
-      assertThat(gateway.log().contains(IGNORED)).as(gateway.log()).isEqualTo(says);
-      assertThat(gateway.figures())
-          .contains("svc.ignored.sighup=" + (says ? 1 : 0), "svc.ignored.sigterm=0");
+      assertThat(gateway.log().contains(IGNORED)).as(gateway.log()).isEqualTo(isIgnored);
+      assertThat(gateway.metrics())
+          .contains("svc.ignored.sighup=" + (isIgnored ? 1 : 0), "svc.ignored.sigterm=0");
       gateway.configure(after.address());
       gateway.signal("HUP");
       gateway.awaitAnswer("second");
       int sent = first.heads.size();
       for (int i = 0; i < 5; i++) {
-        assertThat(gateway.ask()).endsWith("second");
+        assertThat(gateway.sendRequest()).endsWith("second");
       }
       assertThat(first.heads).hasSize(sent);
       assertThat(gateway.log()).contains("discovery is now at");
@@ -53,41 +54,41 @@
   }
 
   @Test
-  void theDeployedCommandReloads(@TempDir Path folder) throws Exception {
-    reloads(folder, ServeProcess.deployed(), false);
+  void deployedCommandReloads(@TempDir Path folder) throws Exception {
+    checkReload(folder, ServeProcess.deployedCommand(), false);
   }
 
   @Test
-  void theDeployedCommandReloadsAlsoUnderNohup(@TempDir Path folder) throws Exception {
-    reloads(folder, NOHUP + ServeProcess.deployed(), false);
+  void deployedCommandReloadsUnderNohup(@TempDir Path folder) throws Exception {
+    checkReload(folder, NOHUP + ServeProcess.deployedCommand(), false);
   }
 
-  /** No command before it restores anything: the file's change is taken, and operators are told. */
+  /** Nothing restores the signal here: the file is polled for changes, and operators are warned. */
   @Test
-  void anotherCommandUnderNohupTakesTheFilesChange(@TempDir Path folder) throws Exception {
-    reloads(folder, NOHUP + BARE, true);
+  void plainCommandUnderNohupReloadsOnFileChange(@TempDir Path folder) throws Exception {
+    checkReload(folder, NOHUP + BARE, true);
   }
 
   @Test
-  void whatIsIgnoredIsReadFromWhatTheSystemSays() {
+  void readsIgnoredSignalsFromProcessStatus() {
     IgnoredSignals both =
-        IgnoredSignals.read(List.of("Name:\tjava", "SigBlk:\t0000000000000000", line("4001")));
+        IgnoredSignals.read(List.of("Name:\tjava", "SigBlk:\t0000000000000000", maskLine("4001")));
     assertThat(both.ignores(IgnoredSignals.HUP)).isTrue();
     assertThat(both.ignores(IgnoredSignals.INT)).isFalse();
     assertThat(both.ignores(IgnoredSignals.TERM)).isTrue();
     assertThat(both.warnings()).hasSize(2);
-    IgnoredSignals background = IgnoredSignals.read(List.of(line("0006")));
+    IgnoredSignals background = IgnoredSignals.read(List.of(maskLine("0006")));
     assertThat(background.ignores(IgnoredSignals.INT)).isTrue();
     assertThat(background.warnings()).isEmpty();
     assertThat(IgnoredSignals.read(List.of("Name:\tjava")).mask()).isZero();
   }
 
-  private static String line(String mask) {
+  private static String maskLine(String mask) {
     return "SigIgn:\t000000000000" + mask;
   }
 
   @Test
-  void aFileCountsAsChangedOnceItStandsStill(@TempDir Path folder) throws Exception {
+  void reportsFileChangeOnceTheFileIsStable(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("config.json");
     Files.writeString(file, "one");
     FileWatcher watch = new FileWatcher(file.toString());
@@ -98,7 +99,7 @@
     }
     assertThat(watch.hasChanged()).isTrue();
     assertThat(watch.hasChanged()).isFalse();
-    // Replaced as editors do, by one of the same size that claims to be as old.
+    // Replaced as editors do, by a file of the same size and modification time.
     Path next = folder.resolve("next");
     Files.writeString(next, Files.readString(file).replace('l', 'L'));
     Files.setLastModifiedTime(next, Files.getLastModifiedTime(file));
--- a/src/test/java/hazelspoke/node/SlowEventLoopTest.java
+++ b/src/test/java/hazelspoke/node/SlowEventLoopTest.java
@@ -10,53 +10,56 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A loop whose every turn is long, as on a machine that has no time for it: clients leave between
- * the moment at which the sockets were read and the moment at which something is sent for them.
+ * Clients that disconnect after the event loop has polled the sockets and before it sends their
+ * requests to a host. Each iteration of the loop is slow, as on an overloaded machine.
  */
 class SlowEventLoopTest {
-  /** Longer than any look at the sockets stays good. */
-  private static final int TURN_MS = 60;
+  /** Longer than the result of a poll of the sockets counts as current. */
+  private static final int ITERATION_MS = 60;
 
-  /** After so many turns whatever was to be sent has been sent. */
-  private static final int ALL_TURNS = 14;
+  /** After this many iterations every request that will be sent has been sent. */
+  private static final int MAX_ITERATIONS = 14;
 
-  /** Holds a loop up in each of its turns, behind the reading and before all else. */
-  private static final class SteppedLoop implements AutoCloseable {
+  /** Blocks an event loop in each iteration, after reading and before all other tasks. */
+  private static final class SteppedEventLoop implements AutoCloseable {
     private final EventLoop loop;
-    private final Semaphore standing = new Semaphore(0);
-    private final Semaphore goOn = new Semaphore(0);
-    private volatile boolean over;
+    private final Semaphore blocked = new Semaphore(0);
+    private final Semaphore proceed = new Semaphore(0);
+    private volatile boolean isClosed;
 
-    SteppedLoop(EventLoop loop) {
+    SteppedEventLoop(EventLoop loop) {
       this.loop = loop;
-      loop.schedule(this::stand, 0, TimeUnit.NANOSECONDS);
-      standing.acquireUninterruptibly();
+      loop.schedule(this::block, 0, TimeUnit.NANOSECONDS);
+      blocked.acquireUninterruptibly();
     }
 
-    private void stand() {
-      if (!over) {
-        // Due first in the next turn.
-        loop.schedule(this::stand, 0, TimeUnit.NANOSECONDS);
-        standing.release();
-        goOn.acquireUninterruptibly();
+    private void block() {
+      if (!isClosed) {
+        // Due first in the next iteration.
+        loop.schedule(this::block, 0, TimeUnit.NANOSECONDS);
+        blocked.release();
+        proceed.acquireUninterruptibly();
       }
     }
 
-    /** Lets the loop do a turn's tasks and read for the next, and returns as it stands again. */
-    void turn() throws InterruptedException {
-      TimeUnit.MILLISECONDS.sleep(TURN_MS);
-      goOn.release();
-      standing.acquire();
+    /**
+     * Lets the loop run the tasks of one iteration and read for the next; returns when it is
+     * blocked again.
+     */
+    void runIteration() throws InterruptedException {
+      TimeUnit.MILLISECONDS.sleep(ITERATION_MS);
+      proceed.release();
+      blocked.acquire();
     }
 
     @Override
     public void close() {
-      over = true;
-      goOn.release();
+      isClosed = true;
+      proceed.release();
     }
   }
 
-  /** The client leaves in one turn after the other of those that its request takes. */
+  /** The client disconnects in each of the iterations that its request takes. */
   @ParameterizedTest
   @CsvSource({
     "look, 2",
@@ -67,7 +70,7 @@
     "dispatch, 8",
     "dispatch, 9"
   })
-  void nothingIsSentForAClientThatHasLeft(String requestClass, int turns) throws Exception {
+  void sendsNothingForDisconnectedClient(String requestClass, int iterations) throws Exception {
     try (FakeServer host =
             new FakeServer((head, out) -> FakeServer.respond(out, FakeServer.ok("done")));
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
@@ -76,16 +79,16 @@
       Rig.send(client, Rig.dispatch(Rig.id(), ""));
       assertThat(Rig.receive(client)).contains(" 200 ");
       rig.awaitReusableConnections();
-      try (SteppedLoop loop = new SteppedLoop(rig.gateway.loop)) {
+      try (SteppedEventLoop loop = new SteppedEventLoop(rig.gateway.loop)) {
         boolean look = requestClass.equals("look");
         Rig.send(client, look ? Rig.look(Rig.id(), "") : Rig.dispatch(Rig.id(), ""));
-        for (int i = 0; i < turns; i++) {
-          loop.turn();
+        for (int i = 0; i < iterations; i++) {
+          loop.runIteration();
         }
         long sent = rig.metric("upstream_tries");
         client.close();
-        for (int i = turns; i < ALL_TURNS; i++) {
-          loop.turn();
+        for (int i = iterations; i < MAX_ITERATIONS; i++) {
+          loop.runIteration();
         }
         assertThat(rig.metric("upstream_tries")).isEqualTo(sent);
       }
--- a/src/test/java/hazelspoke/node/TakeoverTest.java
+++ b/src/test/java/hazelspoke/node/TakeoverTest.java
@@ -15,7 +15,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of one gateway: the older leaves while clients come and go on asking. */
+/**
+ * Handover between two gateway processes on one address while clients connect and send requests.
+ */
 class TakeoverTest {
   private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -34,18 +36,18 @@
     return next;
   }
 
-  /** Each of them waits in the queue of the one or the other when the older is told to leave. */
+  /** Clients wait in the accept queue of either process when the older one shuts down. */
   @Test
-  void whoWaitsToBeAcceptedByTheOldOneIsServedAndWhoComesThenMeetsTheNew() throws Exception {
-    CountDownLatch goOn = new CountDownLatch(1);
+  void servesQueuedClientsAndSendsNewOnesToTheSuccessor() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     List<Socket> waiting = new ArrayList<>();
-    try (FakeServer host = Rig.blockingHost("/dispatch/wait", goOn);
+    try (FakeServer host = Rig.blockingHost("/dispatch/wait", release);
         FakeServer discovery = Rig.discovery(Rig.list(1, host));
         Rig rig = new Rig(300, discovery, host);
         Socket held = rig.connect();
-        Socket resting = rig.connect()) {
-      Rig.send(resting, Rig.dispatch(Rig.id(), ""));
-      assertThat(Rig.receive(resting)).contains(" 200 ").doesNotContain("close");
+        Socket idle = rig.connect()) {
+      Rig.send(idle, Rig.dispatch(Rig.id(), ""));
+      assertThat(Rig.receive(idle)).contains(" 200 ").doesNotContain("close");
       Rig.send(held, Rig.dispatch(Rig.id(), "").replace("/dispatch ", "/dispatch/wait "));
       Rig.await("the host has it", () -> host.heads.size() == 2);
       Rig.await("the first watch", () -> discovery.heads.size() == 1);
@@ -58,9 +60,9 @@
         waiting.add(socket);
         Rig.send(socket, Rig.dispatch(Rig.id(), ""));
       }
-      Thread leaving = new Thread(rig::shutDown);
-      leaving.start();
-      Rig.await("told to leave", () -> leaving.getState() == Thread.State.TIMED_WAITING);
+      Thread shutdown = new Thread(rig::shutDown);
+      shutdown.start();
+      Rig.await("the shutdown has begun", () -> shutdown.getState() == Thread.State.TIMED_WAITING);
       busy.countDown();
       for (Socket socket : waiting) {
         assertThat(Rig.receive(socket)).contains(" 200 ");
@@ -72,15 +74,15 @@
             .doesNotContain("close");
         assertThat(rig.request(HEALTH)).contains(" 200 ");
       }
-      // Who rests may ask once more and is sent over with the answer.
-      assertThat(resting.getInputStream().read()).isEqualTo(-1);
-      goOn.countDown();
+      // Idle connections are closed, so that their clients reconnect to the successor.
+      assertThat(idle.getInputStream().read()).isEqualTo(-1);
+      release.countDown();
       assertThat(Rig.receive(held)).contains(" 200 ").containsIgnoringCase("connection: close");
-      leaving.join();
+      shutdown.join();
       assertThat(rig.request(HEALTH)).contains(" 200 ");
       next.stop();
     } finally {
-      goOn.countDown();
+      release.countDown();
       for (Socket socket : waiting) {
         socket.close();
       }
@@ -88,8 +90,7 @@
   }
 
   @Test
-  void theLastThatBeganToServeFollowsAllOthersAsLongAsItRuns(@TempDir Path folder)
-      throws IOException {
+  void newestRunningProcessIsTheSuccessorOfAllOthers(@TempDir Path folder) throws IOException {
     ServingPidFile first = new ServingPidFile(folder, "127.0.0.1-8081", 1, pid -> pid != 3);
     assertThat(first.hasSuccessor()).isFalse();
     assertThat(first.hasPredecessor()).isFalse();
@@ -103,7 +104,7 @@
     second.claim();
     assertThat(first.hasSuccessor()).isTrue();
     assertThat(second.hasSuccessor()).isFalse();
-    // One that crashed after its start leaves its name behind.
+    // A process that crashed after its start leaves its id behind.
     new ServingPidFile(folder, "127.0.0.1-8081", 3, pid -> true).claim();
     assertThat(first.hasSuccessor()).isFalse();
     try (var files = Files.list(folder)) {
