--- a/src/test/java/hazelspoke/ArchitectureTest.java
+++ b/src/test/java/hazelspoke/ArchitectureTest.java
@@ -10,15 +10,15 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Which way the parts may know one another. */
+/** Allowed dependencies between packages. */
 class ArchitectureTest {
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("hazelspoke", "ternscale");
 
-  /** What a gateway is made of. */
-  private static final String[] IN_SERVICE = {
+  /** The packages of the gateway in production. */
+  private static final String[] PRODUCTION_PACKAGES = {
     "hazelspoke.core..",
     "hazelspoke.net..",
     "hazelspoke.http..",
@@ -33,10 +33,10 @@
   };
 
   @Test
-  void nothingInServiceKnowsTheEmulatorTheBenchmarkOrTheirLibraries() {
+  void productionDoesNotDependOnTheEmulatorTheBenchmarkOrTheirLibraries() {
     noClasses()
         .that()
-        .resideInAnyPackage(IN_SERVICE)
+        .resideInAnyPackage(PRODUCTION_PACKAGES)
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void theCoreKnowsNoProtocolAndNobodyRoundIt() {
+  void coreDependsOnNoProtocolAndNoOuterPackage() {
     classes()
         .that()
         .resideInAPackage("hazelspoke.core..")
@@ -66,9 +66,9 @@
         .check(CLASSES);
   }
 
-  /** A voter's memory can be simulated: it reaches files by its own door, and nothing else. */
+  /** The store must be usable in simulations: it accesses files through one interface only. */
   @Test
-  void theStoreOfTheRecordKnowsNobodyAndReadsNoClock() {
+  void storeOfTheRecordDependsOnNoOtherPackageAndReadsNoClock() {
     classes()
         .that()
         .resideInAPackage("hazelspoke.agreement.store..")
@@ -94,9 +94,12 @@
         .check(CLASSES);
   }
 
-  /** What a fleet decides can be simulated: time, network, disk and chance come from outside. */
+  /**
+   * The record's logic must be usable in simulations: time, network, disk and randomness are
+   * injected.
+   */
   @Test
-  void whatTheRecordDecidesReadsNoClockAndReachesNobody() {
+  void logicOfTheRecordReadsNoClockAndDoesNoInputOrOutput() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -134,9 +137,9 @@
     slices().matching("hazelspoke.agreement.(*)..").should().beFreeOfCycles().check(CLASSES);
   }
 
-  /** The engine is one class's affair, so that another can take its place. */
+  /** Only one package depends on the Raft library, so that it can be replaced. */
   @Test
-  void onlyTheEnginesPackageKnowsWhichEngineItIs() {
+  void onlyTheEnginePackageDependsOnTheRaftLibrary() {
     noClasses()
         .that()
         .resideOutsideOfPackage("hazelspoke.agreement.engine..")
@@ -146,9 +149,9 @@
         .check(CLASSES);
   }
 
-  /** What both ends of HTTP share lies in a package that knows neither. */
+  /** Code that both sides of HTTP share belongs in a package that depends on neither. */
   @Test
-  void frontsAndBacksDoNotKnowOneAnotherNorWhoWiresThem() {
+  void frontAndBackDependNeitherOnEachOtherNorOnTheNode() {
     noClasses()
         .that()
         .resideInAnyPackage("hazelspoke.front..")
@@ -173,12 +176,12 @@
   }
 
   @Test
-  void thePartsGoInNoCircle() {
+  void packagesHaveNoCycles() {
     slices().matching("hazelspoke.(*)..").should().beFreeOfCycles().check(CLASSES);
   }
 
   @Test
-  void theEmulatorsDecisionsDoNoInputNorOutputAndReadNoClock() {
+  void logicOfTheEmulatorDoesNoInputOrOutputAndReadsNoClock() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -201,9 +204,9 @@
         .check(CLASSES);
   }
 
-  /** A judge who could look into a gateway would not count by himself. */
+  /** The checker must not depend on the gateway that it checks. */
   @Test
-  void theJudgeSeesNoGateway() {
+  void checkerDoesNotDependOnTheGateway() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -214,12 +217,12 @@
             "hazelspoke.emulator.script..")
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(IN_SERVICE)
+        .resideInAnyPackage(PRODUCTION_PACKAGES)
         .check(CLASSES);
   }
 
   @Test
-  void thePartsOfTheEmulatorGoInNoCircle() {
+  void packagesOfTheEmulatorHaveNoCycles() {
     slices().matching("hazelspoke.emulator.(*)..").should().beFreeOfCycles().check(CLASSES);
   }
 }
--- a/src/test/java/hazelspoke/MainTest.java
+++ b/src/test/java/hazelspoke/MainTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line as people and deployments meet it. */
+/** The command line: help, errors and exit statuses. */
 class MainTest {
-  private record Said(int status, String out, String err) {}
+  private record CommandResult(int status, String out, String err) {}
 
-  private static Said run(String... args) {
+  private static CommandResult run(String... args) {
     PrintStream out = System.out;
     PrintStream err = System.err;
     ByteArrayOutputStream toOut = new ByteArrayOutputStream();
@@ -25,7 +25,7 @@
     System.setErr(new PrintStream(toErr, true));
     try {
       int status = Main.run(args, Map.of());
-      return new Said(status, toOut.toString(), toErr.toString());
+      return new CommandResult(status, toOut.toString(), toErr.toString());
     } finally {
       System.setOut(out);
       System.setErr(err);
@@ -33,15 +33,15 @@
   }
 
   @Test
-  void everyCommandHasHelp() {
-    Said all = run("--help");
+  void everyCommandPrintsHelp() {
+    CommandResult all = run("--help");
     assertThat(all.status()).isZero();
     for (String command :
         new String[] {
           "demo", "rehearse", "compare", "torment", "serve", "adapter", "archive", "stock-server"
         }) {
       assertThat(all.out()).contains("  " + command);
-      Said help = run(command, "--help");
+      CommandResult help = run(command, "--help");
       assertThat(help.status()).isZero();
       assertThat(help.out()).startsWith("Usage: pumicetray " + command);
     }
@@ -49,66 +49,67 @@
   }
 
   @Test
-  void aWrongCallSaysWhatIsWrongAndEndsWithTwo() {
+  void invalidArgumentsAreReportedWithStatusTwo() {
     assertThat(run().status()).isEqualTo(2);
-    Said wrong = run("rehaerse");
-    assertThat(wrong.status()).isEqualTo(2);
-    assertThat(wrong.err()).contains("rehaerse").contains("rehearse");
+    CommandResult invalid = run("rehaerse");
+    assertThat(invalid.status()).isEqualTo(2);
+    assertThat(invalid.err()).contains("rehaerse").contains("rehearse");
     assertThat(run("rehearse").err()).contains("SCRIPT");
   }
 
   @Test
-  void aBadScriptGetsOneLineAndEndsWithOne(@TempDir Path folder) throws Exception {
+  void invalidScriptPrintsOneLineAndReturnsOne(@TempDir Path folder) throws Exception {
     Path script = folder.resolve("bad.toml");
     Files.writeString(script, "length_s = 10\n[load]\nrate = -1\n");
-    Said bad = run("rehearse", script.toString());
-    assertThat(bad.status()).isEqualTo(1);
-    assertThat(bad.err().lines())
+    CommandResult invalid = run("rehearse", script.toString());
+    assertThat(invalid.status()).isEqualTo(1);
+    assertThat(invalid.err().lines())
         .containsExactly(
             "pumicetray: " + script + ":3: load.rate: expected a number from 0.1 to 50000");
-    Said none = run("rehearse", folder.resolve("none.toml").toString());
-    assertThat(none.status()).isEqualTo(1);
-    assertThat(none.err().lines()).hasSize(1);
+    CommandResult missing = run("rehearse", folder.resolve("none.toml").toString());
+    assertThat(missing.status()).isEqualTo(1);
+    assertThat(missing.err().lines()).hasSize(1);
   }
 
   @Test
-  void onlyWhatASignalCanDoIsCompared(@TempDir Path folder) throws Exception {
+  void compareRejectsFaultsThatSignalsCannotReproduce(@TempDir Path folder) throws Exception {
     Path script = folder.resolve("slow.toml");
     Files.writeString(
         script,
         "length_s = 1\n[load]\nrate = 1\n[[fault]]\nwhat = \"slow\"\nat_s = 0\nfor_s = 1\n"
             + "factor = 2\nhosts = [\"s1\"]\n");
-    Said said = run("compare", script.toString());
-    assertThat(said.status()).isEqualTo(1);
-    assertThat(said.err().lines())
+    CommandResult result = run("compare", script.toString());
+    assertThat(result.status()).isEqualTo(1);
+    assertThat(result.err().lines())
         .containsExactly(
-            "pumicetray: " + script + ":5: a signal can do no more than crash and freeze");
+            "pumicetray: "
+                + script
+                + ":5: only crashes and freezes can be reproduced with signals");
   }
 
   @Test
-  void aTormentThatCannotBePlayedIsRefusedBeforeAnythingStarts(@TempDir Path folder)
-      throws Exception {
+  void tormentRejectsInvalidOptionsBeforeAnythingStarts(@TempDir Path folder) throws Exception {
     Path script = folder.resolve("two.toml");
     Files.writeString(
         script,
         "length_s = 9\n[fleet]\ngateways = 2\n[load]\nrate = 1\n[[fault]]\n"
             + "what = \"gateway_hup\"\nat_s = 0\ngateways = [\"g2\"]\n");
-    for (String[] wrong :
+    for (String[] invalid :
         new String[][] {
           {"--for", "1", "5 to 7200"},
           {"--processes", "0", "200 at most"},
           {"--processes", "1", "names from g1 to g1, not g2"}
         }) {
-      Said said = run("torment", script.toString(), wrong[0], wrong[1]);
-      assertThat(said.status()).isEqualTo(2);
-      assertThat(said.out()).isEmpty();
-      assertThat(said.err()).contains(wrong[2]);
+      CommandResult result = run("torment", script.toString(), invalid[0], invalid[1]);
+      assertThat(result.status()).isEqualTo(2);
+      assertThat(result.out()).isEmpty();
+      assertThat(result.err()).contains(invalid[2]);
     }
   }
 
-  /** The gateway in service pays nothing for what people use. */
+  /** Classes of the interactive commands would cost start time and memory in production. */
   @Test
-  void serveLoadsNothingOfTheEmulatorNorOfItsLibraries() throws Exception {
+  void serveLoadsNoClassOfTheEmulatorOrItsLibraries() throws Exception {
     Process process =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
--- a/src/test/java/hazelspoke/PackagedJarIT.java
+++ b/src/test/java/hazelspoke/PackagedJarIT.java
@@ -10,39 +10,41 @@
 import java.util.jar.JarFile;
 import org.junit.jupiter.api.Test;
 
-/** The one file that is deployed: all other tests run from folders of classes. */
+/** The packaged jar; all other tests run from class folders. */
 class PackagedJarIT {
-  private record Said(int status, String out) {}
+  private record CommandResult(int status, String out) {}
 
-  private static Said java(String... more) throws IOException, InterruptedException {
+  private static CommandResult java(String... arguments) throws IOException, InterruptedException {
     ProcessBuilder builder =
         new ProcessBuilder(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-jar",
             "target/hazelspoke.jar");
-    builder.command().addAll(List.of(more));
+    builder.command().addAll(List.of(arguments));
     builder.environment().remove("NODE_CONFIG");
     Process process = builder.redirectErrorStream(true).start();
     process.getOutputStream().close();
     String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    return new Said(process.waitFor(), out);
+    return new CommandResult(process.waitFor(), out);
   }
 
   @Test
-  void itStartsAGatewayTheSimulatorsAdapterAndTheCommands() throws Exception {
+  void startsTheGatewayTheAdapterAndTheCommands() throws Exception {
     assertThat(java("serve"))
         .isEqualTo(
-            new Said(1, "hazelspoke: variable NODE_CONFIG is missing" + System.lineSeparator()));
-    assertThat(java("adapter")).isEqualTo(new Said(0, ""));
+            new CommandResult(
+                1, "hazelspoke: variable NODE_CONFIG is missing" + System.lineSeparator()));
+    assertThat(java("adapter")).isEqualTo(new CommandResult(0, ""));
     assertThat(java("fleet", "--help").out()).startsWith("Usage: pumicetray fleet");
   }
 
   /**
-   * Five voters as processes and five hollow members: each figure has a line, nobody is missing.
+   * Runs five voters as processes and five simulated members; each metric must have a line, and no
+   * member may be missing.
    */
   @Test
-  void itMeasuresHowASmallFleetGrows() throws Exception {
-    Said said =
+  void measuresAGrowingSmallFleet() throws Exception {
+    CommandResult result =
         java(
             "bench",
             "scale",
@@ -54,8 +56,8 @@
             "1",
             "--idle",
             "0.5");
-    assertThat(said.status()).as(said.out()).isZero();
-    assertThat(said.out())
+    assertThat(result.status()).as(result.out()).isZero();
+    assertThat(result.out())
         .contains(
             "10 members: opened",
             "a change: the last knows, median, ms, by members",
@@ -66,9 +68,9 @@
         .doesNotContain("broken off");
   }
 
-  /** A library may name its build's tools as something that it needs; they are excluded. */
+  /** Some libraries declare their build tools as dependencies; the build excludes these. */
   @Test
-  void itHoldsNoToolsOfAnybodysBuild() throws Exception {
+  void containsNoBuildTools() throws Exception {
     try (JarFile jar = new JarFile("target/hazelspoke.jar")) {
       assertThat(jar.stream().map(JarEntry::getName))
           .noneMatch(name -> name.startsWith("org/apache/maven"))
--- a/src/test/java/hazelspoke/config/OperatorConfigTest.java
+++ b/src/test/java/hazelspoke/config/OperatorConfigTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operator's file, good and bad. */
+/** Valid and invalid operator's files. */
 class OperatorConfigTest {
-  private static final String GOOD =
+  private static final String VALID =
       """
       [fleet]
       name = "f"
@@ -36,12 +36,12 @@
     return OperatorConfig.read(file, environment);
   }
 
-  private List<String> complaints(String text) {
+  private List<String> errors(String text) {
     return catchThrowableOfType(OperatorConfigException.class, () -> read(text, Map.of())).errors();
   }
 
   @Test
-  void theExampleThatIsDeployedIsGoodForEveryMember() throws Exception {
+  void deployedExampleIsValidForEveryMember() throws Exception {
     for (String member : List.of("g1", "g2", "g3")) {
       FleetSettings fleet =
           OperatorConfig.read(
@@ -52,10 +52,10 @@
   }
 
   @Test
-  void asManyMembersAsTheRecordHoldsAreTakenAndNoMore() throws Exception {
+  void acceptsAsManyMembersAsTheRecordHoldsAndNoMore() throws Exception {
     assertThat(read(withMembers(FleetRecord.MAX_SESSIONS), Map.of()).fleet()).isNotNull();
     assertThat(FleetRecord.MAX_SESSIONS).isGreaterThanOrEqualTo(1_024);
-    assertThat(complaints(withMembers(FleetRecord.MAX_SESSIONS + 1)))
+    assertThat(errors(withMembers(FleetRecord.MAX_SESSIONS + 1)))
         .singleElement()
         .asString()
         .contains("members")
@@ -63,7 +63,7 @@
   }
 
   private static String withMembers(int count) {
-    StringBuilder text = new StringBuilder(GOOD);
+    StringBuilder text = new StringBuilder(VALID);
     for (int i = 4; i <= count; i++) {
       text.append("g").append(i).append(" = \"127.0.0.1:").append(i).append("\"\n");
     }
@@ -71,8 +71,8 @@
   }
 
   @Test
-  void whatIsLeftOutTakesADefaultAndAnEmptyFileIsNoFleet() throws Exception {
-    FleetSettings fleet = read(GOOD, Map.of()).fleet();
+  void missingKeysTakeDefaultsAndAnEmptyFileHasNoFleet() throws Exception {
+    FleetSettings fleet = read(VALID, Map.of()).fleet();
     assertThat(fleet.listen().getPort()).isEqualTo(2);
     assertThat(fleet.data()).isEqualTo(folder.resolve("data"));
     assertThat(fleet.alone()).isEqualTo(FleetSettings.Alone.SERVE);
@@ -82,12 +82,13 @@
   }
 
   @Test
-  void allThatIsWrongIsSaidAtOnceWithItsPlace() {
-    String bad =
-        GOOD.replace("self = \"g2\"", "self = \"g22\"\ntrem_s = 9\nalone = \"wait\"\ndrift = 0.5")
+  void reportsAllErrorsWithTheirPositions() {
+    String invalid =
+        VALID
+            .replace("self = \"g2\"", "self = \"g22\"\ntrem_s = 9\nalone = \"wait\"\ndrift = 0.5")
             .replace("\"g3\"]", "\"g3\", \"g9\"]")
             .replace("127.0.0.1:3", "localhost:3");
-    assertThat(complaints(bad))
+    assertThat(errors(invalid))
         .hasSize(7)
         .allMatch(c -> c.contains("pumicetray.toml"))
         .anyMatch(c -> c.contains(":3: fleet.self: there is no member g22; did you mean g2?"))
@@ -100,8 +101,8 @@
   }
 
   @Test
-  void whatIsNoTomlHasItsLine() {
-    assertThat(complaints("[fleet\n")).allMatch(c -> c.contains("pumicetray.toml:1"));
+  void reportsTomlSyntaxErrorsWithTheirLine() {
+    assertThat(errors("[fleet\n")).allMatch(c -> c.contains("pumicetray.toml:1"));
     assertThat(
             catchThrowableOfType(
                     OperatorConfigException.class,
--- a/src/test/java/hazelspoke/knownred/KnownRed.java
+++ b/src/test/java/hazelspoke/knownred/KnownRed.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * The tests that are known to fail for a fault that is not mended yet, as KNOWN-RED.txt at the root
- * lists them: one a line, as {@code package.Class#method: cause (issue N)}. The build runs them
- * apart from the others and prints their results without failing on them.
+ * The tests that are known to fail because of an unfixed fault, as listed in KNOWN-RED.txt at the
+ * root: one per line, as {@code package.Class#method: cause (issue N)}. The build runs them
+ * separately and prints their results without failing on them.
  */
 final class KnownRed {
-  /** More than this would hide the state of the program. */
-  static final int MOST_ENTRIES = 3;
+  /** A longer list would hide the state of the program. */
+  static final int MAX_ENTRIES = 3;
 
   private static final Path FILE = Path.of("KNOWN-RED.txt");
   private static final String METHOD_MARK = "#";
@@ -43,7 +43,7 @@
 
   private KnownRed() {}
 
-  /** All that are listed; none where there is no list. */
+  /** Returns the listed tests; none if there is no file. */
   static List<Entry> entries() {
     if (!Files.exists(FILE)) {
       return List.of();
@@ -57,8 +57,8 @@
 
   static List<Entry> parse(List<String> lines) {
     List<Entry> entries = lines.stream().filter(line -> !line.isBlank()).map(Entry::parse).toList();
-    if (entries.size() > MOST_ENTRIES) {
-      throw new IllegalArgumentException("KNOWN-RED.txt lists more than " + MOST_ENTRIES);
+    if (entries.size() > MAX_ENTRIES) {
+      throw new IllegalArgumentException("KNOWN-RED.txt lists more than " + MAX_ENTRIES);
     }
     return entries;
   }
--- a/src/test/java/hazelspoke/knownred/KnownRedFilter.java
+++ b/src/test/java/hazelspoke/knownred/KnownRedFilter.java
@@ -7,25 +7,25 @@
 import org.junit.platform.launcher.PostDiscoveryFilter;
 
 /**
- * Keeps the tests of KNOWN-RED.txt out of a run, or, where the system property {@code known.red} is
- * {@code only}, all others. Registered with the launcher as a service.
+ * Excludes the tests of KNOWN-RED.txt from a run, or all others if the system property {@code
+ * known.red} is {@code only}. Registered with the launcher as a service.
  */
 public final class KnownRedFilter implements PostDiscoveryFilter {
   private static final String MODE = "known.red";
   private static final String ONLY = "only";
 
-  private final boolean only = ONLY.equals(System.getProperty(MODE));
+  private final boolean runsOnlyListed = ONLY.equals(System.getProperty(MODE));
   private final List<KnownRed.Entry> entries = KnownRed.entries();
 
   @Override
   public FilterResult apply(TestDescriptor test) {
     if (!(test.getSource().orElse(null) instanceof MethodSource method)) {
-      // A container goes by itself once nothing is left in it.
-      return FilterResult.includedIf(test.isContainer() || !only);
+      // The launcher removes containers that have become empty.
+      return FilterResult.includedIf(test.isContainer() || !runsOnlyListed);
     }
     boolean listed =
         entries.stream()
             .anyMatch(entry -> entry.names(method.getClassName(), method.getMethodName()));
-    return FilterResult.includedIf(listed == only);
+    return FilterResult.includedIf(listed == runsOnlyListed);
   }
 }
--- a/src/test/java/hazelspoke/knownred/KnownRedTest.java
+++ b/src/test/java/hazelspoke/knownred/KnownRedTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The list of known failures is well formed, and names tests that exist. */
+/** Format of the list of known failures, and existence of the tests that it names. */
 class KnownRedTest {
-  private static final String GOOD = "a.b.Some#test: what is wrong (issue 49)";
+  private static final String VALID_LINE = "a.b.Some#test: what is wrong (issue 49)";
 
   @Test
   void everyListedTestExists() throws Exception {
@@ -22,8 +22,8 @@
   }
 
   @Test
-  void aLineNamesTestCauseAndIssue() {
-    KnownRed.Entry entry = KnownRed.parse(List.of(GOOD, "")).get(0);
+  void parsesTestCauseAndIssue() {
+    KnownRed.Entry entry = KnownRed.parse(List.of(VALID_LINE, "")).get(0);
     assertThat(entry).isEqualTo(new KnownRed.Entry("a.b.Some", "test", "what is wrong (issue 49)"));
     assertThat(entry.names("a.b.Some", "test")).isTrue();
     assertThat(entry.names("a.b.Some", "testOther")).isFalse();
@@ -34,8 +34,8 @@
   }
 
   @Test
-  void moreThanThreeAreNotListed() {
-    List<String> lines = Collections.nCopies(KnownRed.MOST_ENTRIES + 1, GOOD);
+  void rejectsMoreThanThreeEntries() {
+    List<String> lines = Collections.nCopies(KnownRed.MAX_ENTRIES + 1, VALID_LINE);
     assertThatThrownBy(() -> KnownRed.parse(lines)).isInstanceOf(IllegalArgumentException.class);
   }
 }
