--- a/src/main/java/hazelspoke/FleetCommand.java
+++ b/src/main/java/hazelspoke/FleetCommand.java
@@ -201,7 +201,7 @@
               in.number("age_ms") < 0
                   ? "of unknown age"
                   : String.format(Locale.ROOT, "current %.1f s ago", in.number("age_ms") / 1e3),
-              in.truth("holds")
+              in.bool("holds")
                   ? ""
                   : "; " + in.text("self") + " is partitioned: this may be outdated"));
       String leader = in.text("leader");
@@ -239,7 +239,7 @@
         for (String text : List.of("fleet", "self", "leader", "alone")) {
           json.writeStringField(text, in.text(text));
         }
-        json.writeBooleanField("holds", in.truth("holds"));
+        json.writeBooleanField("holds", in.bool("holds"));
         json.writeNumberField("age_ms", in.number("age_ms"));
         json.writeNumberField("index", in.number("index"));
         json.writeArrayFieldStart("voters");
--- a/src/main/java/hazelspoke/core/ByteBudget.java
+++ b/src/main/java/hazelspoke/core/ByteBudget.java
@@ -4,99 +4,106 @@
 import java.util.Deque;
 
 /**
- * A bound on bytes that many hold at once, kept by pausing those who read them. What is general
- * fills up with parts of many bodies, none of which could then be finished; so one holder at a time
- * may go on into a reserve that fits the largest body. It gets done, frees what it holds, and the
- * next one in line takes its place: no deadlock, and never more than both together.
+ * Bounds the bytes buffered by many holders at once by pausing their readers. The common pool can
+ * fill up with parts of many bodies, none of which could then be completed. One holder at a time
+ * may therefore continue in a reserve that fits the largest body. It completes, releases its bytes,
+ * and the next paused holder takes over the reserve. This prevents deadlock and bounds the total by
+ * the pool plus the reserve.
  */
 public final class ByteBudget {
-  private final long generalBytes;
-  private final Deque<Share> waiting = new ArrayDeque<>();
+  private final long poolBytes;
+  private final Deque<Share> pausedShares = new ArrayDeque<>();
   private long usedBytes;
-  private Share inReserve;
+  private Share reserveHolder;
 
-  public ByteBudget(long generalBytes) {
-    this.generalBytes = generalBytes;
+  public ByteBudget(long poolBytes) {
+    this.poolBytes = poolBytes;
   }
 
-  /** What all hold now, in bytes; what is in the reserve comes on top. */
+  /** The bytes held in the pool; the bytes in the reserve are not included. */
   public long usedBytes() {
     return usedBytes;
   }
 
-  /** Whether less than half of it is used. */
+  /** Whether less than half of the pool is used. */
   public boolean hasHeadroom() {
-    return usedBytes < generalBytes / 2;
+    return usedBytes < poolBytes / 2;
   }
 
-  /** A holder's part; {@code mayGoOn} is run when it was paused and there is room again. */
-  public Share share(Runnable mayGoOn) {
-    return new Share(mayGoOn);
+  /**
+   * Creates a share for one holder; {@code resume} is called after a pause as soon as bytes are
+   * available again.
+   */
+  public Share share(Runnable resume) {
+    return new Share(resume);
   }
 
-  private void wakeWaiting() {
-    while (!waiting.isEmpty()) {
-      if (usedBytes > generalBytes && inReserve != null) {
+  private void resumePaused() {
+    while (!pausedShares.isEmpty()) {
+      if (usedBytes > poolBytes && reserveHolder != null) {
         return;
       }
-      Share next = waiting.poll();
-      if (usedBytes > generalBytes) {
+      Share next = pausedShares.poll();
+      if (usedBytes > poolBytes) {
         enterReserve(next);
       }
       next.paused = false;
-      next.mayGoOn.run();
+      next.resume.run();
     }
   }
 
   private void enterReserve(Share share) {
-    inReserve = share;
+    reserveHolder = share;
     usedBytes -= share.heldBytes;
   }
 
-  /** What one body or answer holds. */
+  /** The bytes held for one body or answer. */
   public final class Share {
-    private final Runnable mayGoOn;
+    private final Runnable resume;
     private long heldBytes;
     private boolean paused;
 
-    private Share(Runnable mayGoOn) {
-      this.mayGoOn = mayGoOn;
+    private Share(Runnable resume) {
+      this.resume = resume;
     }
 
-    /** Counts bytes that have come; false asks the holder to read no more until it is told. */
+    /**
+     * Adds bytes that were read. Returns false if the holder has to stop reading until it is
+     * resumed.
+     */
     public boolean add(long bytes) {
       heldBytes += bytes;
-      if (inReserve == this) {
+      if (reserveHolder == this) {
         return true;
       }
       usedBytes += bytes;
-      if (usedBytes <= generalBytes && !paused) {
+      if (usedBytes <= poolBytes && !paused) {
         return true;
       }
-      if (inReserve == null && waiting.isEmpty()) {
+      if (reserveHolder == null && pausedShares.isEmpty()) {
         enterReserve(this);
         return true;
       }
       if (!paused) {
         paused = true;
-        waiting.add(this);
+        pausedShares.add(this);
       }
       return false;
     }
 
-    /** Gives back all that is held. */
+    /** Releases all bytes of this share. */
     public void release() {
-      if (inReserve == this) {
-        inReserve = null;
+      if (reserveHolder == this) {
+        reserveHolder = null;
       } else {
         usedBytes -= heldBytes;
       }
       heldBytes = 0;
       if (paused) {
         paused = false;
-        waiting.remove(this);
+        pausedShares.remove(this);
       }
-      wakeWaiting();
+      resumePaused();
     }
   }
 }
--- a/src/main/java/hazelspoke/node/FleetMembership.java
+++ b/src/main/java/hazelspoke/node/FleetMembership.java
@@ -51,7 +51,7 @@
       FleetSettings settings, Consumer<String> log, Runnable onStatusChange) {
     return new FleetMembership(
         FleetNode.open(settings, log, onStatusChange),
-        settings.alone() == FleetSettings.Alone.LEAVE);
+        settings.partitionPolicy() == FleetSettings.PartitionPolicy.LEAVE);
   }
 
   /**
@@ -77,14 +77,14 @@
 
   /** Returns whether the session is not valid and the settings ask for a drain in that case. */
   boolean isDraining() {
-    return drainsWhenPartitioned && !node.holds();
+    return drainsWhenPartitioned && !node.hasValidLease();
   }
 
   /** Registers the fleet's gauges. */
   void registerMetrics(Management management) {
     management.gauge("fleet.joined", () -> node.hasJoined() ? 1 : 0);
-    management.gauge("fleet.holds", () -> node.holds() ? 1 : 0);
-    management.gauge("fleet.leads", () -> node.leads() ? 1 : 0);
+    management.gauge("fleet.holds", () -> node.hasValidLease() ? 1 : 0);
+    management.gauge("fleet.leads", () -> node.isLeader() ? 1 : 0);
     management.gauge("fleet.index", node::index);
   }
 
--- a/src/test/java/hazelspoke/node/PartitionedMemberTest.java
+++ b/src/test/java/hazelspoke/node/PartitionedMemberTest.java
@@ -5,7 +5,7 @@
 import hazelspoke.agreement.member.MemberSettings;
 import hazelspoke.agreement.net.FleetNode;
 import hazelspoke.agreement.net.FleetSettings;
-import hazelspoke.agreement.net.FleetSettings.Alone;
+import hazelspoke.agreement.net.FleetSettings.PartitionPolicy;
 import hazelspoke.net.Transport;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -34,7 +34,7 @@
   @TempDir private Path folder;
   private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
 
-  private FleetSettings settings(String name, Alone alone) {
+  private FleetSettings settings(String name, PartitionPolicy policy) {
     MemberSettings member =
         new MemberSettings(
             "f",
@@ -47,11 +47,11 @@
             TimeUnit.MILLISECONDS.toNanos(100),
             1_000,
             true);
-    return new FleetSettings(member, addresses, addresses.get(name), folder.resolve(name), alone);
+    return new FleetSettings(member, addresses, addresses.get(name), folder.resolve(name), policy);
   }
 
   private FleetNode open(String name) {
-    return FleetNode.open(settings(name, Alone.SERVE), line -> {}, () -> {});
+    return FleetNode.open(settings(name, PartitionPolicy.SERVE), line -> {}, () -> {});
   }
 
   private static String sendRequest(InetSocketAddress at, String request) {
@@ -69,8 +69,8 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Alone.class)
-  void servesOrDrainsWhilePartitionedAndRecoversAfterwards(Alone alone) throws Exception {
+  @EnumSource(PartitionPolicy.class)
+  void servesOrDrainsWhilePartitionedAndRecoversAfterwards(PartitionPolicy policy) throws Exception {
     for (String name : NAMES) {
       InetAddress address = InetAddress.getByName("127.85.3." + name.substring(1));
       try (ServerSocket free = new ServerSocket(0, 1, address)) {
@@ -92,7 +92,7 @@
       try {
         InetSocketAddress operators = gateway.openManagement();
         assertThat(gateway.isServing()).isFalse();
-        gateway.joinFleet(settings("g1", alone));
+        gateway.joinFleet(settings("g1", policy));
         gateway.awaitFleet();
         InetSocketAddress clients = (InetSocketAddress) gateway.start();
         Rig.await("ready", () -> get(operators, "/_ready").contains("200"));
@@ -103,7 +103,7 @@
         otherMembers.forEach(FleetNode::close);
         otherMembers.clear();
         Rig.await("partitioned", () -> get(operators, "/_vars").contains("svc.fleet.holds=0"));
-        boolean serves = alone == Alone.SERVE;
+        boolean serves = policy == PartitionPolicy.SERVE;
         Rig.await("readiness follows", () -> get(operators, "/_ready").contains("200") == serves);
         String answer = sendRequest(clients, Rig.dispatch(Rig.id(), ""));
         // Requests that arrive anyway are served; in a drain the client is asked to reconnect
--- a/src/test/java/ternscale/adapter/AdapterTest.java
+++ b/src/test/java/ternscale/adapter/AdapterTest.java
@@ -41,17 +41,17 @@
   }
 
   @Test
-  void anEmptyInputEndsWell() {
+  void acceptsEmptyInput() {
     assertThat(run("")).isEqualTo(new Run(0, "", ""));
   }
 
   @Test
-  void anEmptyBatchIsEchoed() {
+  void answersEmptyBatch() {
     assertThat(run(MARK + EOB).out()).isEqualTo("{\"msg\":\"Yield\",\"frame\":4}\n");
   }
 
   @Test
-  void aRequestIsSentAndItsOutcomeEndsIt() {
+  void sendsRequestAndAcceptsItsOutcome() {
     Run r =
         run(
             MARK
@@ -73,14 +73,14 @@
   }
 
   @Test
-  void aKilledInstanceForgetsItsHosts() {
+  void killedInstanceForgetsItsHosts() {
     Run r = run(MARK + OPEN + LIST + "{\"msg\":\"Kill\",\"who\":3}\n" + OPEN + CALL + EOB);
     assertThat(r.err()).isEmpty();
     assertThat(r.out()).doesNotContain("Place").contains("Yield");
   }
 
   @Test
-  void aFailureOfTheModuleBecomesGiveIn() {
+  void reportsBalancerFailureAsGiveIn() {
     Run r = run(MARK + OPEN + LIST + CALL + CALL + EOB);
     assertThat(r.out()).contains("GiveIn").contains("q1").endsWith("\"frame\":4}\n");
   }
@@ -90,8 +90,8 @@
       delimiter = '|',
       quoteCharacter = '`',
       value = {
-        "hello|line 2|no JSON",
-        "[1]|line 2|no JSON object",
+        "hello|line 2|invalid JSON",
+        "[1]|line 2|not a JSON object",
         "{\"msg\":\"Dance\",\"who\":3}|line 2|Dance",
         "{\"who\":3}|line 2|field msg",
         "{\"msg\":\"Reminder\",\"name\":1}|line 2|field who",
@@ -102,9 +102,9 @@
         "{\"msg\":\"OpenInstance\",\"who\":3,\"random_seed\":1,\"settings\":{}}|line 2|request class",
         "{\"msg\":\"Reminder\",\"who\":1.5,\"name\":1}|line 2|field who",
         "{\"msg\":\"Reminder\",\"who\":99999999999999999999,\"name\":1}|line 2|field who",
-        "{\"msg\":\"Remi|line 2|no JSON",
+        "{\"msg\":\"Remi|line 2|invalid JSON",
       })
-  void badInputIsNamedAndEndsTheRun(String line, String where, String what) {
+  void namesInvalidInputAndEndsWithError(String line, String where, String what) {
     Run r = run(MARK + line + "\n" + EOB);
     assertThat(r.status()).isEqualTo(1);
     assertThat(r.err()).contains(where).contains(what).hasLineCount(1);
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void inputThatStopsInsideABatchIsAnError() {
+  void rejectsInputThatEndsInsideBatch() {
     Run r = run(MARK + OPEN);
     assertThat(r.status()).isEqualTo(1);
     assertThat(r.err()).contains("line 2").contains("inside the batch");
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void usage() {
+  void printsUsage() {
     assertThat(run("", "--help").status()).isZero();
     assertThat(run("", "--help").out()).contains("usage");
     Run wrong = run("", "fly");
