--- a/src/main/java/hazelspoke/CompareCommand.java
+++ b/src/main/java/hazelspoke/CompareCommand.java
@@ -101,23 +101,25 @@
         world.script().withApart(List.copyOf(affectedHosts)));
   }
 
-  private int compare(String first, Script one, String second, Script other) throws Exception {
+  private int compare(
+      String firstVariant, Script firstScript, String secondVariant, Script secondScript)
+      throws Exception {
     Scripts.warmUp(System.out);
-    List<Results> ones = new ArrayList<>();
-    List<Results> others = new ArrayList<>();
+    List<Results> firstResults = new ArrayList<>();
+    List<Results> secondResults = new ArrayList<>();
     int status = Scripts.RULES_KEPT;
     for (int i = 0; i < Math.max(1, runs); i++) {
-      ones.add(run(first, one));
-      others.add(run(second, other));
-      status = Math.max(status, Scripts.status(ones.get(i)));
-      status = Math.max(status, Scripts.status(others.get(i)));
+      firstResults.add(run(firstVariant, firstScript));
+      secondResults.add(run(secondVariant, secondScript));
+      status = Math.max(status, Scripts.status(firstResults.get(i)));
+      status = Math.max(status, Scripts.status(secondResults.get(i)));
     }
-    System.out.println(Comparison.of(first, ones, second, others));
+    System.out.println(Comparison.of(firstVariant, firstResults, secondVariant, secondResults));
     return status;
   }
 
-  private Results run(String variant, Script of) throws Exception {
-    Results results = Scripts.run(World.draw(of, seed), script, System.out);
+  private Results run(String variant, Script variantScript) throws Exception {
+    Results results = Scripts.run(World.draw(variantScript, seed), script, System.out);
     new TextReport(System.out).verdict(results);
     System.out.println("variant: " + variant);
     return results;
--- a/src/main/java/hazelspoke/Scripts.java
+++ b/src/main/java/hazelspoke/Scripts.java
@@ -57,11 +57,11 @@
   }
 
   /** Runs an action in a temporary folder, which is deleted afterwards. */
-  private static Results inTemporaryFolder(FolderAction run)
+  private static Results inTemporaryFolder(FolderAction action)
       throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("rehearsal");
     try {
-      return run.apply(folder);
+      return action.apply(folder);
     } finally {
       try (Stream<Path> files = Files.walk(folder)) {
         for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
--- a/src/main/java/hazelspoke/config/OperatorConfig.java
+++ b/src/main/java/hazelspoke/config/OperatorConfig.java
@@ -115,7 +115,8 @@
             (int) in.number("snapshot_every", MemberSettings.DEFAULT_SNAPSHOT_EVERY, 10, 1_000_000),
             in.enumValue("refusal", Refusal.COUNTS) == Refusal.COUNTS);
     InetSocketAddress listen = in.has("listen") ? address(in, "listen") : addresses.get(self);
-    FleetSettings.PartitionPolicy partitionPolicy = in.enumValue("alone", FleetSettings.PartitionPolicy.SERVE);
+    FleetSettings.PartitionPolicy partitionPolicy =
+        in.enumValue("alone", FleetSettings.PartitionPolicy.SERVE);
     Path data = data(file, in);
     in.rejectUnknownKeys();
     return new FleetSettings(member, addresses, listen, data, partitionPolicy);
--- a/src/main/java/hazelspoke/node/ClassArchive.java
+++ b/src/main/java/hazelspoke/node/ClassArchive.java
@@ -57,15 +57,15 @@
     try {
       Path configFile = Files.createTempFile("archive", ".json");
       try {
-        Gateway first = start(configFile, 1, err);
-        InetSocketAddress host = (InetSocketAddress) first.start();
-        Gateway second = start(configFile, host.getPort(), err);
-        InetSocketAddress operators = second.openManagement();
-        sendRequests((InetSocketAddress) second.start());
-        sendAndAwaitResponse(operators, "GET /_ready HTTP/1.1\r\n\r\n");
-        sendAndAwaitResponse(operators, "GET /_vars HTTP/1.1\r\n\r\n");
-        second.drain();
-        first.drain();
+        Gateway hostGateway = start(configFile, 1, err);
+        InetSocketAddress host = (InetSocketAddress) hostGateway.start();
+        Gateway gateway = start(configFile, host.getPort(), err);
+        InetSocketAddress managementAddress = gateway.openManagement();
+        sendRequests((InetSocketAddress) gateway.start());
+        sendAndAwaitResponse(managementAddress, "GET /_ready HTTP/1.1\r\n\r\n");
+        sendAndAwaitResponse(managementAddress, "GET /_vars HTTP/1.1\r\n\r\n");
+        gateway.drain();
+        hostGateway.drain();
         warmUp(configFile, err);
       } finally {
         Files.delete(configFile);
--- a/src/main/java/hazelspoke/node/WarmUp.java
+++ b/src/main/java/hazelspoke/node/WarmUp.java
@@ -57,7 +57,7 @@
   private static final String RESPONSE_END =
       "\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY;
 
-  /** Common prefix of the request ids. */
+  /** Prefix of the request ids, which clients make 32 hexadecimal digits long. */
   private static final String ID_PREFIX = "0123456789abcdef0123456789";
 
   private final GatewayConfig config;
--- a/src/test/java/hazelspoke/knownred/KnownRed.java
+++ b/src/test/java/hazelspoke/knownred/KnownRed.java
@@ -28,7 +28,7 @@
           || cause < method + 2
           || !line.substring(cause).matches(".+\\(issue \\d+\\)")) {
         throw new IllegalArgumentException(
-            "KNOWN-RED.txt wants package.Class#method: cause (issue N), and has: " + line);
+            "KNOWN-RED.txt: expected package.Class#method: cause (issue N), but found: " + line);
       }
       return new Entry(
           line.substring(0, method),
--- a/src/test/java/hazelspoke/node/PartitionedMemberTest.java
+++ b/src/test/java/hazelspoke/node/PartitionedMemberTest.java
@@ -70,7 +70,8 @@
 
   @ParameterizedTest
   @EnumSource(PartitionPolicy.class)
-  void servesOrDrainsWhilePartitionedAndRecoversAfterwards(PartitionPolicy policy) throws Exception {
+  void servesOrDrainsWhilePartitionedAndRecoversAfterwards(PartitionPolicy policy)
+      throws Exception {
     for (String name : NAMES) {
       InetAddress address = InetAddress.getByName("127.85.3." + name.substring(1));
       try (ServerSocket free = new ServerSocket(0, 1, address)) {
--- a/src/test/java/hazelspoke/node/RestrictedPlatform.java
+++ b/src/test/java/hazelspoke/node/RestrictedPlatform.java
@@ -11,12 +11,12 @@
   @Override
   public void checkPermission(Permission permission) {
     if (UNIX_SOCKETS.equals(permission)) {
-      throw new SecurityException("no sockets in the file system here");
+      throw new SecurityException("Unix domain sockets are not allowed");
     }
   }
 
   @Override
   public void checkExec(String program) {
-    throw new SecurityException("no other programs here");
+    throw new SecurityException("starting other programs is not allowed");
   }
 }
--- a/src/test/java/hazelspoke/node/ServeProcess.java
+++ b/src/test/java/hazelspoke/node/ServeProcess.java
@@ -16,7 +16,7 @@
 import java.util.function.UnaryOperator;
 import org.tomlj.Toml;
 
-/** A gateway as a process of its own, started by a shell as a platform would. */
+/** A gateway in a separate process, started through a shell as platforms do. */
 final class ServeProcess implements AutoCloseable {
   /** What the deployment's command runs, which is the classes of this build here. */
   private static final String JAR = "-jar target/hazelspoke.jar";
