--- a/src/main/java/hazelspoke/agreement/feed/Feed.java
+++ b/src/main/java/hazelspoke/agreement/feed/Feed.java
@@ -30,56 +30,56 @@
   public static final String PIECE = "piece";
 
   /** More than this many do not follow one voter. */
-  private static final int MOST_FOLLOWERS = 2_000;
+  private static final int MAX_SUBSCRIBERS = 2_000;
 
   /** Who has said nothing for so many times the usual has gone. */
-  private static final int GONE_AFTER = 4;
+  private static final int EXPIRY_PERIODS = 4;
 
-  private static final double NANOS_A_SECOND = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
-  private record Kept(long index, byte[] entry) {}
+  private record KeptEntry(long index, byte[] entry) {}
 
   private record Snapshot(long index, byte[] bytes) {}
 
-  private record Push(byte[] packet, long upTo) {}
+  private record Batch(byte[] packet, long lastIndexInBatch) {}
 
-  private static final class Place {
-    private Consumer<byte[]> back;
-    private long heardAt;
+  private static final class Subscription {
+    private Consumer<byte[]> reply;
+    private long lastFollowNanos;
 
     /** It has all up to here, once what is under way to it has come. */
-    private long sent;
+    private long sentIndex;
 
     /** What it is given piece by piece, or null. */
     private Snapshot snapshot;
 
     private int offset;
-    private boolean queued;
+    private boolean isQueued;
   }
 
   private final Turns turns;
-  private final FeedSettings pace;
+  private final FeedSettings settings;
   private final Supplier<FleetRecord> record;
-  private final Deque<Kept> kept = new ArrayDeque<>();
-  private final Map<String, Place> places = new LinkedHashMap<>();
+  private final Deque<KeptEntry> kept = new ArrayDeque<>();
+  private final Map<String, Subscription> subscriptions = new LinkedHashMap<>();
 
   /** Those that are owed pieces, each once, in the order of their turns. */
-  private final Deque<Place> queue = new ArrayDeque<>();
+  private final Deque<Subscription> snapshotQueue = new ArrayDeque<>();
 
   private int keptBytes;
 
   /** All that came later than this is kept. */
-  private long floor;
+  private long lastDroppedIndex;
 
-  private long last;
+  private long lastIndex;
 
   /** The newest that was written, and the one before, which some may still be given. */
   private Snapshot snapshot;
 
-  private Snapshot previous;
-  private boolean flushing;
-  private double earned;
-  private long earnedAt;
+  private Snapshot previousSnapshot;
+  private boolean isFlushScheduled;
+  private double budgetBytes;
+  private long budgetUpdatedNanos;
 
   /**
    * One that nobody follows.
@@ -87,38 +87,38 @@
    * @param record as it was applied here up to now; never an older one's than what was pushed but
    *     while the engine catches up with itself after a restart
    */
-  public Feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
+  public Feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
     this.turns = turns;
-    this.pace = pace;
+    this.settings = settings;
     this.record = record;
-    earnedAt = turns.nanos();
+    budgetUpdatedNanos = turns.nanos();
   }
 
   /** An entry was applied here; those that come again after a restart of the engine are known. */
   public void applied(long index, byte[] entry) {
-    if (index <= last) {
+    if (index <= lastIndex) {
       return;
     }
-    kept.add(new Kept(index, entry));
+    kept.add(new KeptEntry(index, entry));
     keptBytes += entry.length;
-    last = index;
-    while (kept.size() > pace.keptEntries() || keptBytes > pace.keptBytes()) {
-      Kept oldest = kept.remove();
+    lastIndex = index;
+    while (kept.size() > settings.maxKeptEntries() || keptBytes > settings.maxKeptBytes()) {
+      KeptEntry oldest = kept.remove();
       keptBytes -= oldest.entry.length;
-      floor = oldest.index;
+      lastDroppedIndex = oldest.index;
     }
     flushSoon();
   }
 
   /** A snapshot took the place of what was here: what lies between is not known. */
   public void installed(long index) {
-    if (index <= last) {
+    if (index <= lastIndex) {
       return;
     }
     kept.clear();
     keptBytes = 0;
-    floor = index;
-    last = index;
+    lastDroppedIndex = index;
+    lastIndex = index;
     flushSoon();
   }
 
@@ -127,137 +127,144 @@
    *
    * @param back the way to it
    */
-  public void follow(String from, Fields in, Consumer<byte[]> back) throws MalformedException {
-    long have = in.number("have");
-    long of = in.number("of");
+  public void follow(String from, Fields in, Consumer<byte[]> reply) throws MalformedException {
+    long subscriberIndex = in.number("have");
+    long snapshotIndex = in.number("of");
     int offset = in.count("offset");
-    Place place = places.get(from);
-    if (place == null) {
-      if (places.size() >= MOST_FOLLOWERS) {
+    Subscription subscription = subscriptions.get(from);
+    if (subscription == null) {
+      if (subscriptions.size() >= MAX_SUBSCRIBERS) {
         return;
       }
-      place = new Place();
-      places.put(from, place);
+      subscription = new Subscription();
+      subscriptions.put(from, subscription);
     }
-    place.back = back;
-    place.heardAt = turns.nanos();
-    if (place.snapshot != null && place.snapshot.index == of && !in.truth("again")) {
-      back.accept(piece(place.snapshot, 0, 0));
+    subscription.reply = reply;
+    subscription.lastFollowNanos = turns.nanos();
+    if (subscription.snapshot != null
+        && subscription.snapshot.index == snapshotIndex
+        && !in.truth("again")) {
+      reply.accept(piecePacket(subscription.snapshot, 0, 0));
       return;
     }
-    place.sent = have;
-    place.snapshot = null;
-    Snapshot begun = snapshot(of);
-    if (have >= last) {
-      back.accept(encoded(entries(last, List.of())));
-    } else if (have >= floor) {
-      push(place, new HashMap<>());
-    } else if (begun != null && of > have && offset >= 0) {
-      owe(place, begun, offset);
+    subscription.sentIndex = subscriberIndex;
+    subscription.snapshot = null;
+    Snapshot requested = snapshotAt(snapshotIndex);
+    if (subscriberIndex >= lastIndex) {
+      reply.accept(encoded(entriesPacket(lastIndex, List.of())));
+    } else if (subscriberIndex >= lastDroppedIndex) {
+      sendEntries(subscription, new HashMap<>());
+    } else if (requested != null && snapshotIndex > subscriberIndex && offset >= 0) {
+      queueSnapshot(subscription, requested, offset);
     } else {
-      owe(place);
+      queueSnapshot(subscription);
     }
   }
 
   private void flushSoon() {
-    if (!flushing) {
-      flushing = true;
-      turns.after(pace.flushNanos(), this::flush);
+    if (!isFlushScheduled) {
+      isFlushScheduled = true;
+      turns.after(settings.flushNanos(), this::flush);
     }
   }
 
   private void flush() {
-    flushing = false;
+    isFlushScheduled = false;
     long now = turns.nanos();
-    places.values().removeIf(p -> now - p.heardAt > GONE_AFTER * pace.followNanos() && forget(p));
-    Map<Long, Push> shared = new HashMap<>();
-    for (Place place : places.values()) {
-      if (place.snapshot == null && place.sent < last) {
-        if (place.sent >= floor) {
-          push(place, shared);
+    subscriptions
+        .values()
+        .removeIf(
+            s ->
+                now - s.lastFollowNanos > EXPIRY_PERIODS * settings.followNanos()
+                    && cancelSnapshot(s));
+    Map<Long, Batch> shared = new HashMap<>();
+    for (Subscription subscription : subscriptions.values()) {
+      if (subscription.snapshot == null && subscription.sentIndex < lastIndex) {
+        if (subscription.sentIndex >= lastDroppedIndex) {
+          sendEntries(subscription, shared);
         } else {
-          owe(place);
+          queueSnapshot(subscription);
         }
       }
     }
-    pay(now);
+    sendPending(now);
   }
 
-  private static boolean forget(Place place) {
-    place.snapshot = null;
+  private static boolean cancelSnapshot(Subscription subscription) {
+    subscription.snapshot = null;
     return true;
   }
 
   /** Sends what is kept from a place on; what does not fit into one packet follows. */
-  private void push(Place place, Map<Long, Push> shared) {
-    Push push = shared.computeIfAbsent(place.sent, this::after);
-    place.sent = push.upTo;
-    place.back.accept(push.packet);
-    if (place.sent < last) {
+  private void sendEntries(Subscription subscription, Map<Long, Batch> shared) {
+    Batch batch = shared.computeIfAbsent(subscription.sentIndex, this::batchAfter);
+    subscription.sentIndex = batch.lastIndexInBatch;
+    subscription.reply.accept(batch.packet);
+    if (subscription.sentIndex < lastIndex) {
       flushSoon();
     }
   }
 
-  private Push after(long index) {
-    List<Map<String, Object>> some = new ArrayList<>();
+  private Batch batchAfter(long index) {
+    List<Map<String, Object>> batchEntries = new ArrayList<>();
     int bytes = 0;
-    long upTo = index;
-    for (Kept entry : kept) {
-      if (entry.index > index && (some.isEmpty() || bytes < pace.pieceBytes())) {
+    long lastIndexInBatch = index;
+    for (KeptEntry entry : kept) {
+      if (entry.index > index && (batchEntries.isEmpty() || bytes < settings.pieceBytes())) {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("index", entry.index);
         out.put("entry", entry.entry);
-        some.add(out);
+        batchEntries.add(out);
         bytes += entry.entry.length;
-        upTo = entry.index;
+        lastIndexInBatch = entry.index;
       }
     }
-    return new Push(encoded(entries(index, some)), upTo);
+    return new Batch(encoded(entriesPacket(index, batchEntries)), lastIndexInBatch);
   }
 
-  private static byte[] entries(long previous, List<Map<String, Object>> some) {
+  private static byte[] entriesPacket(long previous, List<Map<String, Object>> batchEntries) {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("kind", ENTRIES);
     out.put("previous", previous);
-    out.put("entries", some);
+    out.put("entries", batchEntries);
     return Cbor.write(out);
   }
 
-  private static byte[] piece(Snapshot of, int offset, int length) {
+  private static byte[] piecePacket(Snapshot snapshot, int offset, int length) {
     byte[] bytes = new byte[length];
-    System.arraycopy(of.bytes, offset, bytes, 0, length);
+    System.arraycopy(snapshot.bytes, offset, bytes, 0, length);
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("kind", PIECE);
-    out.put("of", of.index);
+    out.put("of", snapshot.index);
     out.put("offset", offset);
-    out.put("total", of.bytes.length);
+    out.put("total", snapshot.bytes.length);
     out.put("bytes", bytes);
     return Cbor.write(out);
   }
 
-  private void owe(Place place) {
-    Snapshot newest = newest();
-    if (newest != null) {
-      owe(place, newest, 0);
+  private void queueSnapshot(Subscription subscription) {
+    Snapshot current = snapshotToSend();
+    if (current != null) {
+      queueSnapshot(subscription, current, 0);
     }
   }
 
-  private void owe(Place place, Snapshot what, int from) {
-    place.snapshot = what;
-    place.offset = Math.min(from, what.bytes.length);
-    if (!place.queued) {
-      place.queued = true;
-      queue.add(place);
+  private void queueSnapshot(Subscription subscription, Snapshot toSend, int offset) {
+    subscription.snapshot = toSend;
+    subscription.offset = Math.min(offset, toSend.bytes.length);
+    if (!subscription.isQueued) {
+      subscription.isQueued = true;
+      snapshotQueue.add(subscription);
     }
-    place.back.accept(piece(what, 0, 0));
+    subscription.reply.accept(piecePacket(toSend, 0, 0));
     flushSoon();
   }
 
-  private Snapshot snapshot(long index) {
+  private Snapshot snapshotAt(long index) {
     if (snapshot != null && snapshot.index == index) {
       return snapshot;
     }
-    return previous != null && previous.index == index ? previous : null;
+    return previousSnapshot != null && previousSnapshot.index == index ? previousSnapshot : null;
   }
 
   /**
@@ -265,23 +272,23 @@
    * serves until half of what is kept has come after it, so that many that begin at once share it;
    * those that are still given the one before go on, and none that is older is held.
    */
-  private Snapshot newest() {
-    boolean serves =
+  private Snapshot snapshotToSend() {
+    boolean isUsable =
         snapshot != null
-            && snapshot.index >= floor
+            && snapshot.index >= lastDroppedIndex
             && kept.stream().filter(k -> k.index > snapshot.index).count()
-                <= pace.keptEntries() / 2;
-    if (!serves) {
-      FleetRecord now = record.get();
-      if (now.index() < floor || now.index() == 0) {
+                <= settings.maxKeptEntries() / 2;
+    if (!isUsable) {
+      FleetRecord applied = record.get();
+      if (applied.index() < lastDroppedIndex || applied.index() == 0) {
         return null;
       }
-      previous = snapshot;
-      snapshot = new Snapshot(now.index(), now.bytes());
-      for (Place place : places.values()) {
-        if (place.snapshot != null && place.snapshot != previous) {
-          place.snapshot = snapshot;
-          place.offset = 0;
+      previousSnapshot = snapshot;
+      snapshot = new Snapshot(applied.index(), applied.bytes());
+      for (Subscription subscription : subscriptions.values()) {
+        if (subscription.snapshot != null && subscription.snapshot != previousSnapshot) {
+          subscription.snapshot = snapshot;
+          subscription.offset = 0;
         }
       }
     }
@@ -289,40 +296,43 @@
   }
 
   /** Sends pieces in turn, as many as were earned since. */
-  private void pay(long now) {
-    double since = Math.max(0, now - earnedAt) / NANOS_A_SECOND;
-    earnedAt = now;
-    double most =
-        Math.max(pace.pieceBytes(), 2 * pace.flushNanos() / NANOS_A_SECOND * pace.bytesASecond());
-    earned = Math.min(most, earned + since * pace.bytesASecond());
-    while (!queue.isEmpty() && mayPay(earned)) {
-      Place place = queue.remove();
-      place.queued = false;
-      if (place.snapshot == null) {
+  private void sendPending(long now) {
+    double elapsedSeconds = Math.max(0, now - budgetUpdatedNanos) / NANOS_PER_SECOND;
+    budgetUpdatedNanos = now;
+    double maxBudgetBytes =
+        Math.max(
+            settings.pieceBytes(),
+            2 * settings.flushNanos() / NANOS_PER_SECOND * settings.snapshotBytesPerSecond());
+    budgetBytes =
+        Math.min(maxBudgetBytes, budgetBytes + elapsedSeconds * settings.snapshotBytesPerSecond());
+    while (!snapshotQueue.isEmpty() && maySend(budgetBytes)) {
+      Subscription subscription = snapshotQueue.remove();
+      subscription.isQueued = false;
+      if (subscription.snapshot == null) {
         continue;
       }
-      Snapshot of = place.snapshot;
-      int length = Math.min(pace.pieceBytes(), of.bytes.length - place.offset);
-      earned -= length;
-      place.back.accept(encoded(piece(of, place.offset, length)));
-      place.offset += length;
-      if (place.offset < of.bytes.length) {
-        place.queued = true;
-        queue.add(place);
+      Snapshot toSend = subscription.snapshot;
+      int length = Math.min(settings.pieceBytes(), toSend.bytes.length - subscription.offset);
+      budgetBytes -= length;
+      subscription.reply.accept(encoded(piecePacket(toSend, subscription.offset, length)));
+      subscription.offset += length;
+      if (subscription.offset < toSend.bytes.length) {
+        subscription.isQueued = true;
+        snapshotQueue.add(subscription);
       } else {
-        place.snapshot = null;
-        place.sent = of.index;
+        subscription.snapshot = null;
+        subscription.sentIndex = toSend.index;
         flushSoon();
       }
     }
-    if (!queue.isEmpty()) {
+    if (!snapshotQueue.isEmpty()) {
       flushSoon();
     }
   }
 
   /** Whether a piece may be sent that costs more than what is left; what is earned pays it off. */
-  protected boolean mayPay(double left) {
-    return left > 0;
+  protected boolean maySend(double budgetBytes) {
+    return budgetBytes > 0;
   }
 
   /** What is sent to many is never changed afterwards. */
--- a/src/main/java/hazelspoke/agreement/feed/FeedSettings.java
+++ b/src/main/java/hazelspoke/agreement/feed/FeedSettings.java
@@ -15,9 +15,9 @@
     long flushNanos,
     long followNanos,
     int pieceBytes,
-    long bytesASecond,
-    int keptEntries,
-    int keptBytes) {
+    long snapshotBytesPerSecond,
+    int maxKeptEntries,
+    int maxKeptBytes) {
   /** Four signs of life of a leader, and a tenth of one. */
   public static FeedSettings defaults(long heartbeatNanos) {
     return new FeedSettings(
--- a/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
+++ b/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
@@ -29,10 +29,10 @@
   public static final String FOLLOW = "follow";
 
   /** The longest snapshot that is taken. */
-  private static final int LONGEST_SNAPSHOT = 8 << 20;
+  private static final int MAX_SNAPSHOT_BYTES = 8 << 20;
 
   /** So many words of leaders wait to be true here. */
-  private static final int MOST_TOLD = 16;
+  private static final int MAX_PENDING_REPORTS = 16;
 
   /** What its owner gives it, and is told. */
   public interface Owner {
@@ -46,34 +46,34 @@
     void event(String line);
   }
 
-  private record Told(String by, long index, long askedAt, long heardAt) {}
+  private record LeaderReport(String leader, long index, long requestedNanos, long receivedNanos) {}
 
   private final String self;
   private final Turns turns;
   private final Random random;
-  private final FeedSettings pace;
+  private final FeedSettings settings;
   private final Supplier<List<String>> voters;
   private final Owner owner;
-  private final Deque<Told> told = new ArrayDeque<>();
-  private FleetRecord known = new FleetRecord();
+  private final Deque<LeaderReport> pendingReports = new ArrayDeque<>();
+  private FleetRecord record = new FleetRecord();
   private String source;
-  private long heardAt;
-  private long followedAt;
+  private long lastHeardNanos;
+  private long lastFollowNanos;
 
   /** So many in a row were silent. */
-  private int silences;
+  private int unresponsiveSources;
 
   /** Who said last how far the record was, or null. */
   private String leader;
 
   /** Whether the source has brought it on, or said that its turn will come, since it last asked. */
-  private boolean served;
+  private boolean isServed;
 
-  private boolean asked;
+  private boolean isResendRequested;
   private OptionalLong currentAsOfNanos = OptionalLong.empty();
-  private long of = -1;
-  private byte[] snapshot = {};
-  private int taken;
+  private long snapshotIndex = -1;
+  private byte[] snapshotBytes = {};
+  private int receivedBytes;
   private boolean stopped;
 
   /**
@@ -85,21 +85,21 @@
       String self,
       Turns turns,
       Random random,
-      FeedSettings pace,
+      FeedSettings settings,
       Supplier<List<String>> voters,
       Owner owner) {
     this.self = self;
     this.turns = turns;
     this.random = random;
-    this.pace = pace;
+    this.settings = settings;
     this.voters = voters;
     this.owner = owner;
   }
 
   /** Begins, and goes on by itself. */
-  public void begin() {
-    move(voters.get().contains(self) ? self : null);
-    again();
+  public void start() {
+    switchTo(voters.get().contains(self) ? self : null);
+    scheduleTick();
   }
 
   public void stop() {
@@ -108,7 +108,7 @@
 
   /** The record as it is known here; it changes as entries come. */
   public FleetRecord record() {
-    return known;
+    return record;
   }
 
   /** The record was no further than is known here at this time, in ns; empty before the first. */
@@ -121,20 +121,20 @@
    *
    * @param askedAt when it was asked, since when that holds
    */
-  public void told(String by, long index, long askedAt) {
-    leader = by;
-    if (index <= known.index()) {
-      current(askedAt);
+  public void leaderReported(String leader, long index, long requestedNanos) {
+    this.leader = leader;
+    if (index <= record.index()) {
+      markCurrent(requestedNanos);
       return;
     }
-    if (told.size() == MOST_TOLD) {
-      told.removeLast();
+    if (pendingReports.size() == MAX_PENDING_REPORTS) {
+      pendingReports.removeLast();
     }
-    told.add(new Told(by, index, askedAt, turns.nanos()));
+    pendingReports.add(new LeaderReport(leader, index, requestedNanos, turns.nanos()));
   }
 
-  private void again() {
-    turns.after((long) (pace.followNanos() * (0.9 + 0.2 * random.nextDouble())), this::tick);
+  private void scheduleTick() {
+    turns.after((long) (settings.followNanos() * (0.9 + 0.2 * random.nextDouble())), this::tick);
   }
 
   private void tick() {
@@ -142,153 +142,153 @@
       return;
     }
     long now = turns.nanos();
-    boolean silent = heardAt - followedAt < 0;
-    Told oldest = told.peek();
-    if (source == null || silent || !voters.get().contains(source)) {
+    boolean unresponsive = lastHeardNanos - lastFollowNanos < 0;
+    LeaderReport oldest = pendingReports.peek();
+    if (source == null || unresponsive || !voters.get().contains(source)) {
       // First to any, so that those of one that died spread; then to whom it has heard of late.
-      move(silent && silences++ > 0 && !source.equals(leader) ? leader : null);
-    } else if (oldest != null && !served && isBehind(now - oldest.heardAt)) {
-      owner.event("behind source=" + source + " known=" + known.index() + " of=" + oldest.index);
-      move(oldest.by.equals(source) ? null : oldest.by);
+      switchTo(unresponsive && unresponsiveSources++ > 0 && !source.equals(leader) ? leader : null);
+    } else if (oldest != null && !isServed && isBehind(now - oldest.receivedNanos)) {
+      owner.event("behind source=" + source + " known=" + record.index() + " of=" + oldest.index);
+      switchTo(oldest.leader.equals(source) ? null : oldest.leader);
     } else {
-      follow(!served);
+      sendFollow(!isServed);
     }
-    again();
+    scheduleTick();
   }
 
   /** Whether what a leader said so long ago should have come by now. */
-  protected boolean isBehind(long forNanos) {
-    return forNanos > pace.followNanos();
+  protected boolean isBehind(long overdueNanos) {
+    return overdueNanos > settings.followNanos();
   }
 
   /** Goes over to this voter, or to any other. */
-  private void move(String to) {
+  private void switchTo(String to) {
     List<String> others = new ArrayList<>(voters.get());
     if (others.size() > 1) {
       others.remove(source);
     }
     source =
         to != null ? to : others.isEmpty() ? source : others.get(random.nextInt(others.size()));
-    of = -1;
-    follow(true);
+    snapshotIndex = -1;
+    sendFollow(true);
   }
 
-  private void follow(boolean anew) {
+  private void sendFollow(boolean restart) {
     if (source == null) {
       return;
     }
-    followedAt = turns.nanos();
+    lastFollowNanos = turns.nanos();
     // So that what is heard within this turn counts as later.
-    heardAt = followedAt - 1;
-    served = false;
-    asked = false;
+    lastHeardNanos = lastFollowNanos - 1;
+    isServed = false;
+    isResendRequested = false;
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("kind", FOLLOW);
-    out.put("have", known.index());
-    out.put("of", of);
-    out.put("offset", taken);
-    out.put("again", anew);
+    out.put("have", record.index());
+    out.put("of", snapshotIndex);
+    out.put("offset", receivedBytes);
+    out.put("again", restart);
     owner.send(source, Cbor.write(out));
   }
 
   /** Entries have come. */
-  public void entries(String from, Fields in) throws MalformedException {
+  public void receiveEntries(String from, Fields in) throws MalformedException {
     if (stopped || !from.equals(source)) {
       return;
     }
-    heard();
-    if (!follows(in.number("previous"))) {
-      lost();
+    sourceResponded();
+    if (!hasAllUpTo(in.number("previous"))) {
+      requestResend();
       return;
     }
-    boolean news = false;
+    boolean advanced = false;
     for (Fields entry : in.list("entries")) {
       long index = entry.number("index");
-      if (index > known.index()) {
-        known.applyEntry(index, entry.bytes("entry"));
-        news = true;
+      if (index > record.index()) {
+        record.applyEntry(index, entry.bytes("entry"));
+        advanced = true;
       }
     }
-    if (news) {
-      further();
+    if (advanced) {
+      recordAdvanced();
     }
   }
 
   /** Something was lost on the way: asked for once, as more of what follows may come. */
-  private void lost() {
-    if (!asked) {
-      follow(true);
-      asked = true;
+  private void requestResend() {
+    if (!isResendRequested) {
+      sendFollow(true);
+      isResendRequested = true;
     }
   }
 
-  private void heard() {
-    heardAt = turns.nanos();
-    silences = 0;
+  private void sourceResponded() {
+    lastHeardNanos = turns.nanos();
+    unresponsiveSources = 0;
   }
 
   /** Whether it has all up to there, so that what follows may be taken. */
-  protected boolean follows(long previous) {
-    return previous <= known.index();
+  protected boolean hasAllUpTo(long previous) {
+    return previous <= record.index();
   }
 
   /** A piece of a snapshot has come, or word that one will. */
-  public void piece(String from, Fields in) throws MalformedException {
+  public void receivePiece(String from, Fields in) throws MalformedException {
     if (stopped || !from.equals(source)) {
       return;
     }
-    heard();
+    sourceResponded();
     long index = in.number("of");
     int offset = in.count("offset");
     int total = in.count("total");
     byte[] bytes = in.bytes("bytes");
     if (bytes.length == 0) {
-      served = true;
+      isServed = true;
       return;
     }
-    if (index <= known.index()) {
+    if (index <= record.index()) {
       return;
     }
-    if (total > LONGEST_SNAPSHOT || offset < 0 || bytes.length > total - offset) {
+    if (total > MAX_SNAPSHOT_BYTES || offset < 0 || bytes.length > total - offset) {
       throw new MalformedException("a piece of " + bytes.length + " at " + offset + " of " + total);
     }
-    if (of != index || snapshot.length != total) {
-      of = index;
-      snapshot = new byte[total];
-      taken = 0;
+    if (snapshotIndex != index || snapshotBytes.length != total) {
+      snapshotIndex = index;
+      snapshotBytes = new byte[total];
+      receivedBytes = 0;
     }
-    if (offset != taken) {
-      if (offset > taken) {
-        lost();
+    if (offset != receivedBytes) {
+      if (offset > receivedBytes) {
+        requestResend();
       }
       return;
     }
-    served = true;
-    System.arraycopy(bytes, 0, snapshot, offset, bytes.length);
-    taken += bytes.length;
-    if (taken == total) {
-      FleetRecord whole = FleetRecord.read(snapshot);
-      of = -1;
-      snapshot = new byte[0];
-      taken = 0;
-      if (whole.index() != index) {
-        throw new MalformedException("a snapshot up to " + whole.index() + " came as " + index);
+    isServed = true;
+    System.arraycopy(bytes, 0, snapshotBytes, offset, bytes.length);
+    receivedBytes += bytes.length;
+    if (receivedBytes == total) {
+      FleetRecord received = FleetRecord.read(snapshotBytes);
+      snapshotIndex = -1;
+      snapshotBytes = new byte[0];
+      receivedBytes = 0;
+      if (received.index() != index) {
+        throw new MalformedException("a snapshot up to " + received.index() + " came as " + index);
       }
-      known = whole;
-      further();
+      record = received;
+      recordAdvanced();
     }
   }
 
-  private void current(long at) {
-    if (currentAsOfNanos.isEmpty() || at - currentAsOfNanos.getAsLong() > 0) {
-      currentAsOfNanos = OptionalLong.of(at);
+  private void markCurrent(long asOfNanos) {
+    if (currentAsOfNanos.isEmpty() || asOfNanos - currentAsOfNanos.getAsLong() > 0) {
+      currentAsOfNanos = OptionalLong.of(asOfNanos);
     }
   }
 
-  private void further() {
-    served = true;
-    while (!told.isEmpty() && told.peek().index <= known.index()) {
-      current(told.remove().askedAt);
+  private void recordAdvanced() {
+    isServed = true;
+    while (!pendingReports.isEmpty() && pendingReports.peek().index <= record.index()) {
+      markCurrent(pendingReports.remove().requestedNanos);
     }
     owner.changed();
   }
--- a/src/main/java/hazelspoke/agreement/member/Bootstrap.java
+++ b/src/main/java/hazelspoke/agreement/member/Bootstrap.java
@@ -15,12 +15,12 @@
 final class Bootstrap {
   private final List<String> voters;
   private final VoterId self;
-  private final Map<String, String> heard = new HashMap<>();
+  private final Map<String, String> storeIds = new HashMap<>();
 
   Bootstrap(List<String> voters, VoterId self) {
     this.voters = voters;
     this.self = self;
-    heard.put(self.member(), self.home());
+    storeIds.put(self.member(), self.home());
   }
 
   /**
@@ -28,14 +28,14 @@
    *
    * @return the founders, if they are to be written down now; else empty
    */
-  List<VoterId> heardNew(String member, String home) {
-    heard.put(member, home);
-    if (!voters.get(0).equals(self.member()) || !heard.keySet().containsAll(voters)) {
+  List<VoterId> learnNewVoter(String member, String storeId) {
+    storeIds.put(member, storeId);
+    if (!voters.get(0).equals(self.member()) || !storeIds.keySet().containsAll(voters)) {
       return List.of();
     }
     List<VoterId> founders = new ArrayList<>();
     for (String voter : voters) {
-      founders.add(new VoterId(voter, heard.get(voter)));
+      founders.add(new VoterId(voter, storeIds.get(voter)));
     }
     return founders;
   }
@@ -45,6 +45,6 @@
     if (!voters.get(0).equals(self.member())) {
       return voters.subList(0, 1);
     }
-    return voters.stream().filter(v -> !heard.containsKey(v)).toList();
+    return voters.stream().filter(v -> !storeIds.containsKey(v)).toList();
   }
 }
--- a/src/main/java/hazelspoke/agreement/member/Components.java
+++ b/src/main/java/hazelspoke/agreement/member/Components.java
@@ -13,7 +13,7 @@
 
 /** What a member is put together from; a proof puts in parts that lack a guard. */
 class Components {
-  SessionLeases terms(MemberSettings settings, long tickNanos) {
+  SessionLeases leases(MemberSettings settings, long tickNanos) {
     return new SessionLeases(settings.leaseNanos(), settings.drift(), tickNanos);
   }
 
@@ -23,41 +23,41 @@
    * @param askedAt when the renewal was asked for that was granted
    * @param now when it heard of that
    */
-  long heldUntil(MemberSettings settings, long askedAt, long now) {
-    return askedAt + (long) (settings.leaseNanos() * (1 - settings.drift()));
+  long leaseExpiresAt(MemberSettings settings, long requestedNanos, long grantedNanos) {
+    return requestedNanos + (long) (settings.leaseNanos() * (1 - settings.drift()));
   }
 
   /** An election takes some five heartbeats; after so many without a leader something is stuck. */
-  int stuckHeartbeats() {
+  int heartbeatsBeforeRestart() {
     return 16;
   }
 
   /** Of fewer voters the first loss of a disk is the loss of the record. */
-  int leastVoters() {
+  int minVoters() {
     return 3;
   }
 
   /** One that has agreed on its own removal alone could stand in the way of all others. */
-  boolean handsOverBeforeItsRemoval() {
+  boolean transfersLeadershipBeforeOwnRemoval() {
     return true;
   }
 
-  FeedSettings pace(MemberSettings settings) {
+  FeedSettings feedSettings(MemberSettings settings) {
     return FeedSettings.defaults(settings.heartbeatNanos());
   }
 
-  Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-    return new Feed(turns, pace, record);
+  Feed feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
+    return new Feed(turns, settings, record);
   }
 
-  FeedSubscriber follower(
+  FeedSubscriber subscriber(
       String self,
       Turns turns,
       Random random,
-      FeedSettings pace,
+      FeedSettings settings,
       Supplier<List<String>> voters,
       FeedSubscriber.Owner owner) {
-    return new FeedSubscriber(self, turns, random, pace, voters, owner);
+    return new FeedSubscriber(self, turns, random, settings, voters, owner);
   }
 
   Engine engine(Engine.Setup setup) throws MalformedException {
--- a/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
+++ b/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
@@ -20,10 +20,10 @@
  */
 final class LeaderCalls {
   /** So many calls may be under way; further ones fail at once. */
-  static final int MOST = 256;
+  static final int MAX_OPEN_CALLS = 256;
 
   /** Where nobody is known to lead, each so many attempts go to any member, voter or not. */
-  private static final int ANYBODY_EVERY = 3;
+  private static final int ANY_MEMBER_EVERY = 3;
 
   /** What became of a call. */
   enum Outcome {
@@ -38,15 +38,15 @@
   /** How often it is asked again may be seen by the caller: each attempt tells when it was sent. */
   private final class Call {
     private final Map<String, Object> fields;
-    private final long until;
+    private final long deadlineNanos;
     private final CompletableFuture<Reply> result = new CompletableFuture<>();
-    private int attempt;
-    private long sentAt;
-    private String asked;
+    private int attempts;
+    private long sentNanos;
+    private String target;
 
-    Call(Map<String, Object> fields, long until) {
+    Call(Map<String, Object> fields, long deadlineNanos) {
       this.fields = fields;
-      this.until = until;
+      this.deadlineNanos = deadlineNanos;
     }
   }
 
@@ -56,49 +56,53 @@
    * @param from the leader
    * @param askedAt when the attempt that it answers was sent, by the caller's clock
    */
-  record Reply(String from, long askedAt, Fields fields) {}
+  record Reply(String from, long sentNanos, Fields fields) {}
 
   private final String self;
-  private final Transport wire;
+  private final Transport transport;
   private final Turns turns;
   private final Random random;
-  private final long patience;
+  private final long attemptTimeoutNanos;
 
   /** Attempts whose answers are awaited. */
-  private final Map<Long, Call> calls = new HashMap<>();
+  private final Map<Long, Call> awaitingReply = new HashMap<>();
 
   /** All that are not decided, those between two attempts among them. */
-  private final Set<Call> open = new LinkedHashSet<>();
+  private final Set<Call> openCalls = new LinkedHashSet<>();
 
   private final List<String> members;
   private List<String> voters;
   private String leader;
-  private long numbers;
+  private long lastNumber;
   private boolean stopped;
 
   /**
    * @param patienceNanos how long one attempt waits for its answer
    */
   LeaderCalls(
-      MemberSettings settings, Transport wire, Turns turns, Random random, long patienceNanos) {
+      MemberSettings settings,
+      Transport transport,
+      Turns turns,
+      Random random,
+      long attemptTimeoutNanos) {
     self = settings.self();
     members = settings.members();
     voters = settings.voters();
-    this.wire = wire;
+    this.transport = transport;
     this.turns = turns;
     this.random = random;
-    this.patience = patienceNanos;
+    this.attemptTimeoutNanos = attemptTimeoutNanos;
   }
 
   /** Whose votes count now, as a leader says. */
-  void voters(List<String> now) {
-    if (!now.isEmpty()) {
-      voters = List.copyOf(now);
+  void updateVoters(List<String> voters) {
+    if (!voters.isEmpty()) {
+      this.voters = List.copyOf(voters);
     }
   }
 
   /** Somebody is known to lead. */
-  void leads(String member) {
+  void setLeader(String member) {
     leader = member;
   }
 
@@ -113,10 +117,10 @@
 
   void stop() {
     stopped = true;
-    List<Call> left = new ArrayList<>(open);
-    calls.clear();
-    open.clear();
-    for (Call call : left) {
+    List<Call> remaining = new ArrayList<>(openCalls);
+    awaitingReply.clear();
+    openCalls.clear();
+    for (Call call : remaining) {
       call.result.completeExceptionally(new IllegalStateException("the member has stopped"));
     }
   }
@@ -126,14 +130,14 @@
    *
    * @param forNanos how long it is tried
    */
-  CompletableFuture<Reply> call(Map<String, Object> fields, long forNanos) {
-    Call call = new Call(fields, turns.nanos() + forNanos);
-    if (stopped || open.size() >= MOST) {
+  CompletableFuture<Reply> call(Map<String, Object> fields, long timeoutNanos) {
+    Call call = new Call(fields, turns.nanos() + timeoutNanos);
+    if (stopped || openCalls.size() >= MAX_OPEN_CALLS) {
       call.result.completeExceptionally(
           new IllegalStateException(stopped ? "the member has stopped" : "too many calls"));
     } else {
-      open.add(call);
-      attempt(++numbers, call);
+      openCalls.add(call);
+      attempt(++lastNumber, call);
     }
     return call.result;
   }
@@ -143,71 +147,73 @@
       return;
     }
     long now = turns.nanos();
-    if (now - call.until >= 0) {
-      open.remove(call);
+    if (now - call.deadlineNanos >= 0) {
+      openCalls.remove(call);
       call.result.completeExceptionally(
           new IllegalStateException(
-              "no leader has answered; asked last: " + (call.asked == null ? "-" : call.asked)));
+              "no leader has answered; asked last: " + (call.target == null ? "-" : call.target)));
       return;
     }
-    call.attempt++;
-    call.sentAt = now;
+    call.attempts++;
+    call.sentNanos = now;
     // The voters may all be others by now than the file has them.
-    List<String> some = call.attempt % ANYBODY_EVERY == 0 ? members : voters;
-    call.asked = leader != null ? leader : some.get(random.nextInt(some.size()));
-    calls.put(number, call);
-    Map<String, Object> out = Packets.of(Packets.CALL);
+    List<String> candidates = call.attempts % ANY_MEMBER_EVERY == 0 ? members : voters;
+    call.target = leader != null ? leader : candidates.get(random.nextInt(candidates.size()));
+    awaitingReply.put(number, call);
+    Map<String, Object> out = Packets.ofKind(Packets.CALL);
     out.put("number", number);
     out.putAll(call.fields);
-    wire.send(call.asked, Cbor.write(out));
-    turns.after(patience, () -> unanswered(number));
+    transport.send(call.target, Cbor.write(out));
+    turns.after(attemptTimeoutNanos, () -> attemptTimedOut(number));
   }
 
-  private void unanswered(long number) {
-    Call call = calls.remove(number);
+  private void attemptTimedOut(long number) {
+    Call call = awaitingReply.remove(number);
     if (call != null) {
-      if (call.asked.equals(leader)) {
+      if (call.target.equals(leader)) {
         leader = null;
       }
-      again(call);
+      retryLater(call);
     }
   }
 
   /** Under a new number, so that a late answer to an earlier attempt is not taken for its. */
-  private void again(Call call) {
+  private void retryLater(Call call) {
     // From nothing to a whole patience, more so with each attempt, so that many do not come at
     // once.
-    long most = Math.min(patience, (patience / 16) << Math.min(6, call.attempt));
-    turns.after(1 + (long) (random.nextDouble() * most), () -> attempt(++numbers, call));
+    long maxDelayNanos =
+        Math.min(attemptTimeoutNanos, (attemptTimeoutNanos / 16) << Math.min(6, call.attempts));
+    turns.after(
+        1 + (long) (random.nextDouble() * maxDelayNanos), () -> attempt(++lastNumber, call));
   }
 
   /** Takes an answer. */
   void reply(String from, Fields in) throws MalformedException {
-    Call call = calls.get(in.number("number"));
-    if (call == null || !call.asked.equals(from)) {
+    Call call = awaitingReply.get(in.number("number"));
+    if (call == null || !call.target.equals(from)) {
       return;
     }
     Outcome outcome = in.one("outcome", Outcome.class);
     String hint = in.has("leader") ? in.text("leader") : "";
-    calls.remove(in.number("number"));
+    awaitingReply.remove(in.number("number"));
     switch (outcome) {
       case DONE -> {
-        open.remove(call);
+        openCalls.remove(call);
         leader = from;
-        call.result.complete(new Reply(from, call.sentAt, in));
+        call.result.complete(new Reply(from, call.sentNanos, in));
       }
       case NOT_ME -> {
         leader = hint.isEmpty() || hint.equals(from) ? null : hint;
-        again(call);
+        retryLater(call);
       }
-      case LATER -> again(call);
+      case LATER -> retryLater(call);
     }
   }
 
   /** Where this member asks when it wants all voters that there may be. */
-  List<String> everybody(List<String> more) {
+  List<String> otherVoters(List<String> additional) {
     LinkedHashSet<String> out = new LinkedHashSet<>(voters);
-    out.addAll(more);
+    out.addAll(additional);
     out.remove(self);
     return List.copyOf(out);
   }
--- a/src/main/java/hazelspoke/agreement/member/Leadership.java
+++ b/src/main/java/hazelspoke/agreement/member/Leadership.java
@@ -28,62 +28,62 @@
   private static final int PROBE_TICKS = 10;
 
   /** So many calls may wait for a confirmation; further ones are told to come later. */
-  private static final int MOST_WAITING = 4_096;
+  private static final int MAX_UNCONFIRMED_CALLS = 4_096;
 
   private final Turns turns;
-  private final Transport wire;
+  private final Transport transport;
   private final Member.Listener listener;
-  private final SessionLeases terms;
+  private final SessionLeases leases;
   private final String origin;
   private final long tickNanos;
-  private final VoterChanges growth;
-  private List<Runnable> waiting = new ArrayList<>();
-  private List<Runnable> refused = new ArrayList<>();
+  private final VoterChanges voterChanges;
+  private List<Runnable> actionsOnConfirmed = new ArrayList<>();
+  private List<Runnable> actionsOnFailure = new ArrayList<>();
   private boolean confirming;
-  private long numbers;
+  private long lastNumber;
   private long ticks;
   private final boolean refusalProvesEnd;
   private Engine engine;
-  private boolean ended;
+  private boolean stopped;
 
   Leadership(
       MemberSettings settings,
       Turns turns,
       Random random,
-      Transport wire,
+      Transport transport,
       Member.Listener listener,
-      Components parts) {
-    this.wire = wire;
-    growth = new VoterChanges(settings, random, turns, wire, parts);
+      Components components) {
+    this.transport = transport;
+    voterChanges = new VoterChanges(settings, random, turns, transport, components);
     refusalProvesEnd = settings.refusalProvesEnd();
     this.turns = turns;
     this.listener = listener;
     tickNanos = Math.max(1, settings.leaseNanos() / 20);
-    terms = parts.terms(settings, tickNanos);
+    leases = components.leases(settings, tickNanos);
     origin = settings.self() + "/leads/" + Long.toHexString(random.nextLong());
   }
 
-  void engine(Engine of, List<VoterId> founders) {
-    engine = of;
-    growth.begin(of, founders);
+  void start(Engine engine, List<VoterId> founders) {
+    this.engine = engine;
+    voterChanges.start(engine, founders);
   }
 
-  void ends() {
-    ended = true;
-    growth.ends();
+  void stop() {
+    stopped = true;
+    voterChanges.stop();
   }
 
-  void leads(boolean leads) {
-    if (leads) {
-      terms.begin(turns.nanos());
+  void leadershipChanged(boolean isLeader) {
+    if (isLeader) {
+      leases.start(turns.nanos());
     } else {
-      growth.ends();
+      voterChanges.stop();
     }
   }
 
   /** A member that is to be a voter says how far it has the record. */
-  void filled(String from, Fields in) throws MalformedException {
-    growth.filled(from, in.text("as"), in.number("index"));
+  void caughtUp(String from, Fields in) throws MalformedException {
+    voterChanges.caughtUp(from, in.text("as"), in.number("index"));
   }
 
   void applied() {
@@ -91,11 +91,11 @@
   }
 
   void tick() {
-    if (ended) {
+    if (stopped) {
       return;
     }
-    if (leads()) {
-      for (Session session : terms.tick(turns.nanos(), engine.record().sessions())) {
+    if (isLeader()) {
+      for (Session session : leases.tick(turns.nanos(), engine.record().sessions())) {
         lapse(session);
       }
       if (refusalProvesEnd && ++ticks % PROBE_TICKS == 0) {
@@ -110,10 +110,10 @@
     for (Session session : engine.record().sessions()) {
       if (session.status() == Status.SILENT) {
         // The attempt begins after this incarnation has joined, so a refusal is about its end.
-        wire.probe(
+        transport.probe(
             session.member(),
             () -> {
-              if (!ended && leads()) {
+              if (!stopped && isLeader()) {
                 listener.event("refused by=machine member=" + session.member());
                 propose(new Command.Refused(session.member(), session.incarnation()));
               }
@@ -122,7 +122,7 @@
     }
   }
 
-  private boolean leads() {
+  private boolean isLeader() {
     return engine != null && engine.leads();
   }
 
@@ -130,16 +130,16 @@
     listener.event("silent member=" + session.member() + " incarnation=" + session.incarnation());
     propose(new Command.Lapse(session.member(), session.incarnation()))
         .whenComplete(
-            (answer, failure) -> {
+            (result, failure) -> {
               // One whose fate is unknown may still come true, so nothing is said to its holder.
               if (failure != null && Engine.isRefusal(failure)) {
-                terms.notLapsed(session);
+                leases.lapseFailed(session);
               }
             });
   }
 
   private CompletableFuture<CommandResult> propose(Command command) {
-    return engine.propose(new Command.Numbered(origin, ++numbers, command));
+    return engine.propose(new Command.Numbered(origin, ++lastNumber, command));
   }
 
   /**
@@ -147,34 +147,34 @@
    *
    * @param heard who leads, as a member without an engine has heard; null for nobody known
    */
-  void call(String from, Fields in, String heard, Consumer<byte[]> answer)
+  void call(String from, Fields in, String knownLeader, Consumer<byte[]> replySender)
       throws MalformedException {
-    Map<String, Object> reply = Packets.of(Packets.REPLY);
+    Map<String, Object> reply = Packets.ofKind(Packets.REPLY);
     reply.put("number", in.number("number"));
-    if (!leads()) {
+    if (!isLeader()) {
       VoterId leader = engine == null ? null : engine.leader();
-      String hint = leader == null ? heard : leader.member();
+      String hint = leader == null ? knownLeader : leader.member();
       reply.put("outcome", LeaderCalls.Outcome.NOT_ME.name());
       reply.put("leader", hint == null ? "" : hint);
-      answer.accept(Cbor.write(reply));
+      replySender.accept(Cbor.write(reply));
       return;
     }
     Consumer<LeaderCalls.Outcome> send =
         outcome -> {
           reply.put("outcome", outcome.name());
-          answer.accept(Cbor.write(reply));
+          replySender.accept(Cbor.write(reply));
         };
     switch (in.text("call")) {
       case "command" -> command(from, in, reply, send);
       case "renew" -> {
         long incarnation = in.number("incarnation");
-        long life = in.number("life");
-        confirmed(() -> renew(from, incarnation, life, reply, send), send);
+        long sessionEpoch = in.number("life");
+        runWhenConfirmed(() -> renew(from, incarnation, sessionEpoch, reply, send), send);
       }
       case "read" ->
-          confirmed(
+          runWhenConfirmed(
               () -> {
-                howFar(reply);
+                putIndex(reply);
                 reply.put("state", engine.record().bytes());
                 send.accept(LeaderCalls.Outcome.DONE);
               },
@@ -188,23 +188,23 @@
       String from, Fields in, Map<String, Object> reply, Consumer<LeaderCalls.Outcome> send)
       throws MalformedException {
     Command.Numbered command = Command.Numbered.read(in.bytes("command"));
-    if (!mayGive(from, command.command())) {
+    if (!maySubmit(from, command.command())) {
       throw new MalformedException(from + " may not give " + command.command());
     }
     engine
         .propose(command)
         .whenComplete(
-            (answer, failure) -> {
+            (result, failure) -> {
               if (failure == null) {
-                reply.put("answer", answer.fields());
-                howFar(reply);
+                reply.put("answer", result.fields());
+                putIndex(reply);
               }
               send.accept(failure == null ? LeaderCalls.Outcome.DONE : LeaderCalls.Outcome.LATER);
             });
   }
 
   /** What concerns one member's own standing it says itself; what time decides, a leader does. */
-  private static boolean mayGive(String from, Command command) {
+  private static boolean maySubmit(String from, Command command) {
     if (command instanceof Command.Join join) {
       return join.member().equals(from);
     } else if (command instanceof Command.Leave leave) {
@@ -218,23 +218,25 @@
   private void renew(
       String from,
       long incarnation,
-      long life,
+      long sessionEpoch,
       Map<String, Object> reply,
       Consumer<LeaderCalls.Outcome> send) {
     FleetRecord record = engine.record();
     Session session = record.session(from);
-    boolean its =
-        session != null && session.incarnation() == incarnation && session.sessionEpoch() == life;
-    if (its && session.status() == Status.THERE) {
-      if (terms.isLapsing(session)) {
+    boolean isCurrent =
+        session != null
+            && session.incarnation() == incarnation
+            && session.sessionEpoch() == sessionEpoch;
+    if (isCurrent && session.status() == Status.THERE) {
+      if (leases.isLapsing(session)) {
         // Its lapse is under way: to say that it holds could turn out wrong.
         send.accept(LeaderCalls.Outcome.LATER);
         return;
       }
-      terms.renewed(session, turns.nanos());
+      leases.renew(session, turns.nanos());
     }
-    reply.put("standing", its ? session.status().name() : "");
-    howFar(reply);
+    reply.put("standing", isCurrent ? session.status().name() : "");
+    putIndex(reply);
     send.accept(LeaderCalls.Outcome.DONE);
   }
 
@@ -242,69 +244,72 @@
    * Up to where the record goes; what it says there, members have from the feed. Only after a
    * majority has confirmed that this is the leader: who hears it may call itself current.
    */
-  private void howFar(Map<String, Object> reply) {
-    voters(reply);
+  private void putIndex(Map<String, Object> reply) {
+    putVoters(reply);
     reply.put("index", engine.applied());
   }
 
-  private void voters(Map<String, Object> reply) {
+  private void putVoters(Map<String, Object> reply) {
     reply.put("voters", engine.voters().stream().map(VoterId::member).distinct().toList());
   }
 
   private void changeVoter(
       boolean add, String member, Map<String, Object> reply, Consumer<LeaderCalls.Outcome> send) {
     Session session = engine.record().session(member);
-    String not = growth.mayNot(add, member, session);
-    if (not != null) {
-      reply.put("answer", new CommandResult(false, 0, not).fields());
-      voters(reply);
+    String rejection = voterChanges.rejection(add, member, session);
+    if (rejection != null) {
+      reply.put("answer", new CommandResult(false, 0, rejection).fields());
+      putVoters(reply);
       send.accept(LeaderCalls.Outcome.DONE);
       return;
     }
     CompletableFuture<Void> change =
-        add ? growth.add(member, session.storeId()) : growth.remove(member);
+        add ? voterChanges.add(member, session.storeId()) : voterChanges.remove(member);
     change.whenComplete(
         (x, failure) -> {
-          String why = VoterChanges.notFilled(failure);
+          String failureReason = VoterChanges.catchUpFailure(failure);
           if (failure == null) {
             listener.event((add ? "added" : "removed") + " voter=" + member);
           }
-          if (failure == null || why != null) {
+          if (failure == null || failureReason != null) {
             long index = engine.record().index();
             reply.put(
-                "answer", new CommandResult(why == null, index, why == null ? "" : why).fields());
-            voters(reply);
+                "answer",
+                new CommandResult(
+                        failureReason == null, index, failureReason == null ? "" : failureReason)
+                    .fields());
+            putVoters(reply);
           }
           send.accept(
               reply.containsKey("answer") ? LeaderCalls.Outcome.DONE : LeaderCalls.Outcome.LATER);
         });
   }
 
-  private void confirmed(Runnable then, Consumer<LeaderCalls.Outcome> send) {
-    if (waiting.size() >= MOST_WAITING) {
+  private void runWhenConfirmed(Runnable action, Consumer<LeaderCalls.Outcome> send) {
+    if (actionsOnConfirmed.size() >= MAX_UNCONFIRMED_CALLS) {
       send.accept(LeaderCalls.Outcome.LATER);
       return;
     }
-    waiting.add(then);
-    refused.add(() -> send.accept(LeaderCalls.Outcome.LATER));
+    actionsOnConfirmed.add(action);
+    actionsOnFailure.add(() -> send.accept(LeaderCalls.Outcome.LATER));
     confirm();
   }
 
   private void confirm() {
-    if (confirming || waiting.isEmpty()) {
+    if (confirming || actionsOnConfirmed.isEmpty()) {
       return;
     }
     confirming = true;
-    List<Runnable> ok = waiting;
-    List<Runnable> not = refused;
-    waiting = new ArrayList<>();
-    refused = new ArrayList<>();
+    List<Runnable> confirmedActions = actionsOnConfirmed;
+    List<Runnable> failureActions = actionsOnFailure;
+    actionsOnConfirmed = new ArrayList<>();
+    actionsOnFailure = new ArrayList<>();
     engine
         .confirm()
         .whenComplete(
             (index, failure) -> {
               confirming = false;
-              (failure == null ? ok : not).forEach(Runnable::run);
+              (failure == null ? confirmedActions : failureActions).forEach(Runnable::run);
               confirm();
             });
   }
--- a/src/main/java/hazelspoke/agreement/member/LocalSession.java
+++ b/src/main/java/hazelspoke/agreement/member/LocalSession.java
@@ -18,65 +18,65 @@
  */
 final class LocalSession {
   /** Takes over what a leader tells of the record. */
-  interface Learner {
-    void learn(LeaderCalls.Reply reply) throws MalformedException;
+  interface ReplyObserver {
+    void replyReceived(LeaderCalls.Reply reply) throws MalformedException;
   }
 
-  private static final int RENEWALS_A_TERM = 4;
+  private static final int RENEWALS_PER_LEASE = 4;
 
   /** One process may begin so many lives, as a power of two, before it meets the next one's. */
-  private static final int LIVES_SHIFT = 24;
+  private static final int PROCESS_EPOCH_SHIFT = 24;
 
   private final MemberSettings settings;
-  private final String home;
+  private final String storeId;
   private final LeaderCalls calls;
   private final Turns turns;
   private final Random random;
-  private final Learner learner;
+  private final ReplyObserver observer;
   private final Member.Listener listener;
-  private final Components parts;
-  private long life;
-  private long numbers;
+  private final Components components;
+  private long sessionEpoch;
+  private long lastNumber;
   private long incarnation;
 
   /** Up to where the record was at least when this life had joined. */
-  private long joinedAt;
+  private long joinedIndex;
 
   /** Commands of its own: the first is under way. */
-  private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
+  private final ArrayDeque<Runnable> pendingCommands = new ArrayDeque<>();
 
   /** Its term ends then by its own clock; meaningless before it was renewed for the first time. */
-  private long heldUntil;
+  private long leaseExpiresAt;
 
-  private boolean renewed;
-  private boolean wasHeld;
+  private boolean wasRenewed;
+  private boolean leaseWasValid;
   private boolean stopped;
 
   LocalSession(
       MemberSettings settings,
-      StoreIdentity home,
+      StoreIdentity identity,
       LeaderCalls calls,
       Turns turns,
       Random random,
-      Learner learner,
+      ReplyObserver observer,
       Member.Listener listener,
-      Components parts) {
-    this.parts = parts;
+      Components components) {
+    this.components = components;
     this.settings = settings;
-    this.home = home.name();
-    life = home.lives() << LIVES_SHIFT;
+    this.storeId = identity.storeId();
+    sessionEpoch = identity.processEpoch() << PROCESS_EPOCH_SHIFT;
     this.calls = calls;
     this.turns = turns;
     this.random = random;
-    this.learner = learner;
+    this.observer = observer;
     this.listener = listener;
   }
 
-  void begin() {
-    life++;
-    numbers = 0;
+  void start() {
+    sessionEpoch++;
+    lastNumber = 0;
     incarnation = 0;
-    renewed = false;
+    wasRenewed = false;
     // A whole fleet may begin with this one.
     turns.after(1 + (long) (random.nextDouble() * settings.heartbeatNanos()), this::join);
   }
@@ -90,73 +90,73 @@
   }
 
   boolean hasValidLease() {
-    return renewed && !stopped && turns.nanos() - heldUntil < 0;
+    return wasRenewed && !stopped && turns.nanos() - leaseExpiresAt < 0;
   }
 
   /** Up to where the record has to be known before this life may count as having read it. */
-  long joinedAt() {
-    return joinedAt;
+  long joinedIndex() {
+    return joinedIndex;
   }
 
   private String origin() {
-    return settings.self() + "/" + home + "/" + Long.toHexString(life);
+    return settings.self() + "/" + storeId + "/" + Long.toHexString(sessionEpoch);
   }
 
   /** One after the other: of two under way the later one could make the earlier one void. */
-  CompletableFuture<CommandResult> submit(Command command, long forNanos) {
-    CompletableFuture<CommandResult> answer = new CompletableFuture<>();
-    if (queue.size() >= LeaderCalls.MOST) {
-      answer.completeExceptionally(new IllegalStateException("too many commands wait"));
-      return answer;
+  CompletableFuture<CommandResult> submit(Command command, long timeoutNanos) {
+    CompletableFuture<CommandResult> result = new CompletableFuture<>();
+    if (pendingCommands.size() >= LeaderCalls.MAX_OPEN_CALLS) {
+      result.completeExceptionally(new IllegalStateException("too many commands wait"));
+      return result;
     }
-    Command.Numbered numbered = new Command.Numbered(origin(), ++numbers, command);
-    answer.whenComplete(
+    Command.Numbered numbered = new Command.Numbered(origin(), ++lastNumber, command);
+    result.whenComplete(
         (x, y) -> {
-          queue.remove();
-          if (!queue.isEmpty()) {
-            queue.peek().run();
+          pendingCommands.remove();
+          if (!pendingCommands.isEmpty()) {
+            pendingCommands.peek().run();
           }
         });
-    queue.add(
+    pendingCommands.add(
         () ->
-            submit(numbered, forNanos)
+            submit(numbered, timeoutNanos)
                 .whenComplete(
-                    (done, failure) -> {
+                    (value, failure) -> {
                       if (failure == null) {
-                        answer.complete(done);
+                        result.complete(value);
                       } else {
-                        answer.completeExceptionally(failure);
+                        result.completeExceptionally(failure);
                       }
                     }));
-    if (queue.size() == 1) {
-      queue.peek().run();
+    if (pendingCommands.size() == 1) {
+      pendingCommands.peek().run();
     }
-    return answer;
+    return result;
   }
 
   /** A command of somebody else's, who numbers it. */
-  CompletableFuture<CommandResult> submit(Command.Numbered command, long forNanos) {
+  CompletableFuture<CommandResult> submit(Command.Numbered command, long timeoutNanos) {
     Map<String, Object> call = new LinkedHashMap<>();
     call.put("call", "command");
     call.put("command", command.bytes());
-    return answer(calls.call(call, forNanos));
+    return result(calls.call(call, timeoutNanos));
   }
 
-  CompletableFuture<CommandResult> changeVoter(boolean add, String member, long forNanos) {
+  CompletableFuture<CommandResult> changeVoter(boolean add, String member, long timeoutNanos) {
     Map<String, Object> call = new LinkedHashMap<>();
     call.put("call", "voter");
     call.put("add", add);
     call.put("member", member);
-    return answer(calls.call(call, forNanos));
+    return result(calls.call(call, timeoutNanos));
   }
 
-  private CompletableFuture<CommandResult> answer(CompletableFuture<LeaderCalls.Reply> reply) {
+  private CompletableFuture<CommandResult> result(CompletableFuture<LeaderCalls.Reply> reply) {
     return reply.thenApply(
         r -> {
           try {
-            learner.learn(r);
+            observer.replyReceived(r);
             if (incarnation == 0 && r.fields().has("index")) {
-              joinedAt = r.fields().number("index");
+              joinedIndex = r.fields().number("index");
             }
             return CommandResult.read(r.fields().fields("answer"));
           } catch (MalformedException e) {
@@ -165,33 +165,35 @@
         });
   }
 
-  CompletableFuture<LeaderCalls.Reply> call(String what, long forNanos) {
+  CompletableFuture<LeaderCalls.Reply> call(String name, long timeoutNanos) {
     Map<String, Object> call = new LinkedHashMap<>();
-    call.put("call", what);
-    return calls.call(call, forNanos);
+    call.put("call", name);
+    return calls.call(call, timeoutNanos);
   }
 
   private void join() {
     if (stopped) {
       return;
     }
-    long of = life;
-    submit(new Command.Join(settings.self(), home, life, settings.address()), settings.leaseNanos())
+    long requestEpoch = sessionEpoch;
+    submit(
+            new Command.Join(settings.self(), storeId, sessionEpoch, settings.address()),
+            settings.leaseNanos())
         .whenComplete(
-            (answer, failure) -> {
-              if (of != life || stopped) {
+            (result, failure) -> {
+              if (requestEpoch != sessionEpoch || stopped) {
                 return;
               }
               if (failure != null) {
                 listener.event("waits for=join why=\"" + failure.getMessage() + "\"");
-                later(this::join);
-              } else if (answer.succeeded()) {
-                incarnation = answer.number();
+                scheduleNext(this::join);
+              } else if (result.succeeded()) {
+                incarnation = result.number();
                 listener.event("joined incarnation=" + incarnation);
                 renew();
               } else {
-                listener.event("refused why=\"" + answer.reason() + "\"");
-                turns.after(settings.leaseNanos() / RENEWALS_A_TERM, this::begin);
+                listener.event("refused why=\"" + result.reason() + "\"");
+                turns.after(settings.leaseNanos() / RENEWALS_PER_LEASE, this::start);
               }
             });
   }
@@ -200,71 +202,71 @@
     if (stopped || incarnation == 0) {
       return;
     }
-    long of = life;
+    long requestEpoch = sessionEpoch;
     Map<String, Object> call = new LinkedHashMap<>();
     call.put("call", "renew");
     call.put("incarnation", incarnation);
-    call.put("life", life);
+    call.put("life", sessionEpoch);
     calls
         .call(call, settings.leaseNanos())
         .whenComplete(
             (reply, failure) -> {
-              if (of == life && !stopped) {
-                renewed(reply, failure);
+              if (requestEpoch == sessionEpoch && !stopped) {
+                handleRenewal(reply, failure);
               }
             });
   }
 
-  private void renewed(LeaderCalls.Reply reply, Throwable failure) {
-    if (wasHeld && !hasValidLease()) {
-      wasHeld = false;
+  private void handleRenewal(LeaderCalls.Reply reply, Throwable failure) {
+    if (leaseWasValid && !hasValidLease()) {
+      leaseWasValid = false;
       listener.event("alone incarnation=" + incarnation);
     }
     if (failure != null) {
-      later(this::renew);
+      scheduleNext(this::renew);
       return;
     }
-    String standing;
+    String status;
     try {
-      standing = reply.fields().text("standing");
-      learner.learn(reply);
+      status = reply.fields().text("standing");
+      observer.replyReceived(reply);
     } catch (MalformedException e) {
       listener.event("malformed from=" + reply.from() + " why=\"" + e.getMessage() + "\"");
-      later(this::renew);
+      scheduleNext(this::renew);
       return;
     }
-    if (standing.equals(Status.THERE.name())) {
-      heldUntil = parts.heldUntil(settings, reply.askedAt(), turns.nanos());
-      renewed = true;
-      if (!wasHeld && hasValidLease()) {
-        wasHeld = true;
+    if (status.equals(Status.THERE.name())) {
+      leaseExpiresAt = components.leaseExpiresAt(settings, reply.sentNanos(), turns.nanos());
+      wasRenewed = true;
+      if (!leaseWasValid && hasValidLease()) {
+        leaseWasValid = true;
         listener.event("holds incarnation=" + incarnation);
       }
-      later(this::renew);
-    } else if (standing.equals(Status.SILENT.name())) {
+      scheduleNext(this::renew);
+    } else if (status.equals(Status.SILENT.name())) {
       submit(new Command.Back(settings.self(), incarnation), settings.leaseNanos())
-          .whenComplete((answer, lost) -> renew());
+          .whenComplete((result, submitFailure) -> renew());
     } else {
-      listener.event("over incarnation=" + incarnation + " standing=" + standing);
-      begin();
+      listener.event("over incarnation=" + incarnation + " standing=" + status);
+      start();
     }
   }
 
-  private void later(Runnable what) {
-    double part = 0.9 + 0.2 * random.nextDouble();
-    turns.after((long) (settings.leaseNanos() / RENEWALS_A_TERM * part), what);
+  private void scheduleNext(Runnable action) {
+    double jitter = 0.9 + 0.2 * random.nextDouble();
+    turns.after((long) (settings.leaseNanos() / RENEWALS_PER_LEASE * jitter), action);
   }
 
-  CompletableFuture<CommandResult> leave(long forNanos) {
+  CompletableFuture<CommandResult> leave(long timeoutNanos) {
     if (incarnation == 0) {
       return CompletableFuture.completedFuture(new CommandResult(true, 0, ""));
     }
-    renewed = false;
-    long gone = incarnation;
+    wasRenewed = false;
+    long leaving = incarnation;
     incarnation = 0;
     // Whatever is under way is an answer to a life that is over.
-    life++;
-    numbers = 0;
-    return submit(new Command.Leave(settings.self(), gone), forNanos);
+    sessionEpoch++;
+    lastNumber = 0;
+    return submit(new Command.Leave(settings.self(), leaving), timeoutNanos);
   }
 }
--- a/src/main/java/hazelspoke/agreement/member/Member.java
+++ b/src/main/java/hazelspoke/agreement/member/Member.java
@@ -35,32 +35,32 @@
   }
 
   /** How long a command of this member's own is tried, in terms. */
-  private static final int PATIENCE_TERMS = 6;
+  private static final int COMMAND_TIMEOUT_LEASES = 6;
 
   /** Whose vote has ended, as a leader says, looks so much more seldom whether it is stuck. */
-  private static final int REMOVED_RESTS = 8;
+  private static final int REMOVED_RESTART_FACTOR = 8;
 
   /** Of the questions for the founders each so many says whom it waits for. */
-  private static final int TELL_EVERY = 20;
+  private static final int WHO_REQUESTS_PER_EVENT = 20;
 
   private final MemberSettings settings;
   private final Turns turns;
   private final Random random;
-  private final Transport wire;
+  private final Transport transport;
   private final Disk disk;
   private final Listener listener;
-  private final Components parts;
+  private final Components components;
   private final LeaderCalls calls;
   private final LocalSession session;
   private final Leadership leadership;
 
-  private StoreIdentity home;
-  private Bootstrap founding;
+  private StoreIdentity identity;
+  private Bootstrap bootstrap;
   private Engine engine;
   private RecordStore store;
   private final Feed feed;
-  private final FeedSubscriber follower;
-  private int asked;
+  private final FeedSubscriber subscriber;
+  private int whoRequests;
   private boolean diskFailed;
   private boolean stopped;
 
@@ -76,10 +76,10 @@
       Disk disk,
       Turns turns,
       Random random,
-      Transport wire,
+      Transport transport,
       Listener listener)
       throws IOException, WrongDataDirectoryException {
-    this(settings, disk, turns, random, wire, listener, new Components());
+    this(settings, disk, turns, random, transport, listener, new Components());
   }
 
   Member(
@@ -87,48 +87,51 @@
       Disk disk,
       Turns turns,
       Random random,
-      Transport wire,
+      Transport transport,
       Listener listener,
-      Components parts)
+      Components components)
       throws IOException, WrongDataDirectoryException {
     this.settings = settings;
-    this.parts = parts;
+    this.components = components;
     this.disk = disk;
     this.turns = turns;
     this.random = random;
-    this.wire = wire;
+    this.transport = transport;
     this.listener = listener;
     try {
-      home = StoreIdentity.open(disk, settings.fleet(), settings.self(), random);
+      identity = StoreIdentity.open(disk, settings.fleet(), settings.self(), random);
       openStore();
     } catch (MalformedException | StoreDamagedException e) {
       // What it has voted may be among what is gone, so it must never vote under that name again.
       listener.event("damaged why=\"" + e.getMessage() + "\" then=\"waits to be made a voter\"");
-      home = StoreIdentity.renew(disk, settings.fleet(), settings.self(), random);
-    }
-    long patience = 4 * settings.heartbeatNanos();
-    calls = new LeaderCalls(settings, wire, turns, random, patience);
-    session = new LocalSession(settings, home, calls, turns, random, this::learn, listener, parts);
-    FeedSettings pace = parts.pace(settings);
-    feed = parts.feed(turns, pace, () -> engine.record());
-    follower =
-        parts.follower(settings.self(), turns, random, pace, calls::voters, new FollowerOwner());
-    leadership = new Leadership(settings, turns, random, wire, listener, parts);
-    if (!home.founders().isEmpty()) {
+      identity = StoreIdentity.replace(disk, settings.fleet(), settings.self(), random);
+    }
+    long attemptTimeoutNanos = 4 * settings.heartbeatNanos();
+    calls = new LeaderCalls(settings, transport, turns, random, attemptTimeoutNanos);
+    session =
+        new LocalSession(
+            settings, identity, calls, turns, random, this::replyReceived, listener, components);
+    FeedSettings feedSettings = components.feedSettings(settings);
+    feed = components.feed(turns, feedSettings, () -> engine.record());
+    subscriber =
+        components.subscriber(
+            settings.self(), turns, random, feedSettings, calls::voters, new SubscriberOwner());
+    leadership = new Leadership(settings, turns, random, transport, listener, components);
+    if (!identity.founders().isEmpty()) {
       startEngine();
-      watch();
+      restartIfStuck();
     } else if (settings.isVoter()) {
-      founding = new Bootstrap(settings.voters(), home.voter());
-      found(founding.heardNew(settings.self(), home.name()));
+      bootstrap = new Bootstrap(settings.voters(), identity.voterId());
+      bootstrapFrom(bootstrap.learnNewVoter(settings.self(), identity.storeId()));
       askWho();
     }
-    session.begin();
-    follower.begin();
+    session.start();
+    subscriber.start();
     leadership.tick();
   }
 
   private void openStore() throws IOException, StoreDamagedException, MalformedException {
-    if (!home.founders().isEmpty()) {
+    if (!identity.founders().isEmpty()) {
       if (!RecordStore.isIn(disk)) {
         throw new MalformedException("all segments are missing");
       }
@@ -143,17 +146,17 @@
   private void startEngine() throws IOException {
     try {
       engine =
-          parts.engine(
+          components.engine(
               new Engine.Setup(
                   settings.fleet(),
-                  home.voter(),
-                  home.founders(),
+                  identity.voterId(),
+                  identity.founders(),
                   store,
                   new Engine.Pace(settings.heartbeatNanos(), settings.snapshotEvery()),
                   turns,
                   random,
                   new EngineOwner()));
-      leadership.engine(engine, home.founders());
+      leadership.start(engine, identity.founders());
     } catch (MalformedException e) {
       throw new IOException("the store cannot be gone on from: " + e.getMessage(), e);
     }
@@ -165,24 +168,28 @@
    * then hears of a leader of the same term keeps the mark that it is asking, and when that leader
    * dies it never asks again. If its log is the longest, nobody else is elected either.
    */
-  private void watch() {
+  private void restartIfStuck() {
     if (stopped || diskFailed) {
       return;
     }
     // One that was removed may never hear of it, and has nobody to wait for.
-    boolean removed = !calls.voters().contains(settings.self());
-    int stuck = parts.stuckHeartbeats() * (removed ? REMOVED_RESTS : 1);
-    long silent = turns.nanos() - engine.leaderHeardAt();
+    boolean isRemoved = !calls.voters().contains(settings.self());
+    int restartHeartbeats =
+        components.heartbeatsBeforeRestart() * (isRemoved ? REMOVED_RESTART_FACTOR : 1);
+    long leaderSilentNanos = turns.nanos() - engine.leaderHeardAt();
     if (!engine.leads()
-        && silent > stuck * settings.heartbeatNanos()
-        && engine.voters().contains(home.voter())) {
-      listener.event("restarts engine leader_silent_ms=" + silent / 1_000_000);
+        && leaderSilentNanos > restartHeartbeats * settings.heartbeatNanos()
+        && engine.voters().contains(identity.voterId())) {
+      listener.event("restarts engine leader_silent_ms=" + leaderSilentNanos / 1_000_000);
       restartEngine();
     }
     // As often where it was removed: it may be made a voter again meanwhile.
     turns.after(
-        (long) (settings.heartbeatNanos() * parts.stuckHeartbeats() * (0.5 + random.nextDouble())),
-        this::watch);
+        (long)
+            (settings.heartbeatNanos()
+                * components.heartbeatsBeforeRestart()
+                * (0.5 + random.nextDouble())),
+        this::restartIfStuck);
   }
 
   private void restartEngine() {
@@ -195,9 +202,9 @@
       store = RecordStore.open(disk);
       startEngine();
     } catch (IOException e) {
-      failed(e);
+      diskFailed(e);
     } catch (StoreDamagedException e) {
-      failed(new IOException(e.getMessage(), e));
+      diskFailed(new IOException(e.getMessage(), e));
     }
   }
 
@@ -206,20 +213,20 @@
     if (stopped || engine != null) {
       return;
     }
-    Map<String, Object> who = Packets.of(Packets.WHO);
-    who.put("home", home.name());
-    for (String voter : calls.everybody(settings.voters())) {
-      wire.send(voter, Cbor.write(who));
+    Map<String, Object> who = Packets.ofKind(Packets.WHO);
+    who.put("home", identity.storeId());
+    for (String voter : calls.otherVoters(settings.voters())) {
+      transport.send(voter, Cbor.write(who));
     }
-    if (++asked % TELL_EVERY == 0) {
-      listener.event("waits for=founding missing=" + founding.missing());
+    if (++whoRequests % WHO_REQUESTS_PER_EVENT == 0) {
+      listener.event("waits for=founding missing=" + bootstrap.missing());
     }
     turns.after(
         settings.heartbeatNanos() + (long) (random.nextDouble() * settings.heartbeatNanos()),
         this::askWho);
   }
 
-  private void found(List<VoterId> founders) throws IOException {
+  private void bootstrapFrom(List<VoterId> founders) throws IOException {
     if (founders.isEmpty() || engine != null) {
       return;
     }
@@ -229,11 +236,11 @@
     } catch (StoreDamagedException e) {
       throw new IOException("a new store is damaged: " + e.getMessage(), e);
     }
-    home.found(founders);
-    boolean votes = founders.contains(home.voter());
-    listener.event("founded by=" + founders + " votes=" + votes);
+    identity.writeFounders(founders);
+    boolean isVoter = founders.contains(identity.voterId());
+    listener.event("founded by=" + founders + " votes=" + isVoter);
     startEngine();
-    watch();
+    restartIfStuck();
   }
 
   /**
@@ -241,63 +248,65 @@
    *
    * @param back the way to who sent it, for answers
    */
-  public void receive(String from, byte[] packet, Consumer<byte[]> back) {
+  public void receive(String from, byte[] packet, Consumer<byte[]> reply) {
     if (stopped) {
       return;
     }
     try {
       Fields in = Cbor.read(packet);
       switch (in.text("kind")) {
-        case Packets.RAFT -> raft(from, in);
-        case Packets.WHO -> iam(from, in.text("home"), back);
-        case Packets.IAM -> heard(from, in);
-        case Packets.CALL -> leadership.call(from, in, calls.leader(), back);
+        case Packets.RAFT -> handleRaft(from, in);
+        case Packets.WHO -> handleWho(from, in.text("home"), reply);
+        case Packets.IAM -> handleIam(from, in);
+        case Packets.CALL -> leadership.call(from, in, calls.leader(), reply);
         case Packets.REPLY -> calls.reply(from, in);
-        case Packets.INVITE -> invited(in, back);
-        case Packets.FILLED -> leadership.filled(from, in);
-        case Packets.FOLLOW -> followed(from, in, back);
-        case Packets.ENTRIES -> follower.entries(from, in);
-        case Packets.PIECE -> follower.piece(from, in);
+        case Packets.INVITE -> handleInvite(in, reply);
+        case Packets.FILLED -> leadership.caughtUp(from, in);
+        case Packets.FOLLOW -> handleFollow(from, in, reply);
+        case Packets.ENTRIES -> subscriber.receiveEntries(from, in);
+        case Packets.PIECE -> subscriber.receivePiece(from, in);
         default -> listener.event("unknown from=" + from + " kind=" + in.text("kind"));
       }
     } catch (MalformedException e) {
       listener.event("malformed from=" + from + " why=\"" + e.getMessage() + "\"");
     } catch (IOException e) {
-      failed(e);
+      diskFailed(e);
     }
   }
 
-  private void raft(String from, Fields in) throws MalformedException {
+  private void handleRaft(String from, Fields in) throws MalformedException {
     // What was meant for an earlier voter of this name is not this one's.
-    if (engine != null && in.text("to").equals(home.voter().home())) {
+    if (engine != null && in.text("to").equals(identity.voterId().home())) {
       engine.handle(from, in.bytes("message"));
     }
   }
 
   /** Where no engine goes on, who follows hears nothing, and finds another voter. */
-  private void followed(String from, Fields in, Consumer<byte[]> back) throws MalformedException {
+  private void handleFollow(String from, Fields in, Consumer<byte[]> reply)
+      throws MalformedException {
     if (engine != null && !diskFailed) {
-      feed.follow(from, in, back);
+      feed.follow(from, in, reply);
     }
   }
 
-  private void iam(String to, String itsHome, Consumer<byte[]> back) throws IOException {
-    Map<String, Object> out = Packets.of(Packets.IAM);
-    out.put("home", home.name());
-    out.put("founders", home.founders().stream().map(VoterId::toString).toList());
-    back.accept(Cbor.write(out));
-    if (founding != null && settings.voters().contains(to)) {
+  private void handleWho(String from, String senderStoreId, Consumer<byte[]> reply)
+      throws IOException {
+    Map<String, Object> out = Packets.ofKind(Packets.IAM);
+    out.put("home", identity.storeId());
+    out.put("founders", identity.founders().stream().map(VoterId::toString).toList());
+    reply.accept(Cbor.write(out));
+    if (bootstrap != null && settings.voters().contains(from)) {
       // Who asks knows of no founders.
-      found(founding.heardNew(to, itsHome));
+      bootstrapFrom(bootstrap.learnNewVoter(from, senderStoreId));
     }
   }
 
-  private void heard(String from, Fields in) throws MalformedException, IOException {
-    if (founding == null || !settings.voters().contains(from)) {
+  private void handleIam(String from, Fields in) throws MalformedException, IOException {
+    if (bootstrap == null || !settings.voters().contains(from)) {
       return;
     }
-    List<VoterId> founders = voters(in.texts("founders"));
-    found(founders.isEmpty() ? founding.heardNew(from, in.text("home")) : founders);
+    List<VoterId> founders = parseVoters(in.texts("founders"));
+    bootstrapFrom(founders.isEmpty() ? bootstrap.learnNewVoter(from, in.text("home")) : founders);
   }
 
   /**
@@ -305,31 +314,32 @@
    * votes under a name that nobody has had: MicroRaft 0.7 ends a voter that reads of its own
    * removal, also where it was added again since, and can spin for ever doing so.
    */
-  private void invited(Fields in, Consumer<byte[]> back) throws MalformedException, IOException {
+  private void handleInvite(Fields in, Consumer<byte[]> reply)
+      throws MalformedException, IOException {
     // What was meant for an earlier folder of this name is not this one's.
-    if (!in.text("home").equals(home.name()) || diskFailed) {
+    if (!in.text("home").equals(identity.storeId()) || diskFailed) {
       return;
     }
     StoreIdentity.Invitation invitation = StoreIdentity.Invitation.read(in);
-    if (invitation.isNewerThan(home.invitation())) {
-      home.invite(invitation);
+    if (invitation.isNewerThan(identity.invitation())) {
+      identity.acceptInvitation(invitation);
       if (engine != null) {
         restartEngine();
       }
       if (diskFailed) {
         return;
       }
-    } else if (!invitation.equals(home.invitation())) {
+    } else if (!invitation.equals(identity.invitation())) {
       return;
     }
-    found(voters(in.texts("founders")));
-    Map<String, Object> out = Packets.of(Packets.FILLED);
-    out.put("as", invitation.home());
+    bootstrapFrom(parseVoters(in.texts("founders")));
+    Map<String, Object> out = Packets.ofKind(Packets.FILLED);
+    out.put("as", invitation.voterStoreId());
     out.put("index", engine == null ? 0 : engine.record().index());
-    back.accept(Cbor.write(out));
+    reply.accept(Cbor.write(out));
   }
 
-  private static List<VoterId> voters(List<String> texts) throws MalformedException {
+  private static List<VoterId> parseVoters(List<String> texts) throws MalformedException {
     List<VoterId> out = new ArrayList<>();
     for (String text : texts) {
       out.add(VoterId.parse(text));
@@ -337,41 +347,41 @@
     return out;
   }
 
-  private void failed(IOException why) {
+  private void diskFailed(IOException cause) {
     diskFailed = true;
     if (engine != null) {
       engine.stop();
     }
-    listener.event("disk why=\"" + why.getMessage() + "\" then=\"no vote until the next start\"");
-    leadership.ends();
+    listener.event("disk why=\"" + cause.getMessage() + "\" then=\"no vote until the next start\"");
+    leadership.stop();
   }
 
-  private void learn(LeaderCalls.Reply reply) throws MalformedException {
-    calls.voters(reply.fields().texts("voters"));
+  private void replyReceived(LeaderCalls.Reply reply) throws MalformedException {
+    calls.updateVoters(reply.fields().texts("voters"));
     if (reply.fields().has("index")) {
-      follower.told(reply.from(), reply.fields().number("index"), reply.askedAt());
+      subscriber.leaderReported(reply.from(), reply.fields().number("index"), reply.sentNanos());
     }
     listener.changed();
   }
 
   /** Puts a command on the record, once, however often it is asked again for it. */
   public CompletableFuture<CommandResult> submit(Command command) {
-    return session.submit(command, PATIENCE_TERMS * settings.leaseNanos());
+    return session.submit(command, COMMAND_TIMEOUT_LEASES * settings.leaseNanos());
   }
 
   /** The same for somebody who numbers commands, and may ask several members for the same. */
-  public CompletableFuture<CommandResult> submit(Command.Numbered command, long forNanos) {
-    return session.submit(command, forNanos);
+  public CompletableFuture<CommandResult> submit(Command.Numbered command, long timeoutNanos) {
+    return session.submit(command, timeoutNanos);
   }
 
   /** What the record says, no older than this call. */
-  public CompletableFuture<FleetRecord> read(long forNanos) {
+  public CompletableFuture<FleetRecord> read(long timeoutNanos) {
     return session
-        .call("read", forNanos)
+        .call("read", timeoutNanos)
         .thenApply(
             reply -> {
               try {
-                learn(reply);
+                replyReceived(reply);
                 return FleetRecord.read(reply.fields().bytes("state"));
               } catch (MalformedException e) {
                 throw new IllegalStateException("unreadable state: " + e.getMessage(), e);
@@ -380,13 +390,14 @@
   }
 
   /** Makes a member a voter, or ends its vote. */
-  public CompletableFuture<CommandResult> changeVoter(boolean add, String member, long forNanos) {
-    return session.changeVoter(add, member, forNanos);
+  public CompletableFuture<CommandResult> changeVoter(
+      boolean add, String member, long timeoutNanos) {
+    return session.changeVoter(add, member, timeoutNanos);
   }
 
   /** Whether it has joined and read the record as of then or later, in this life. */
   public boolean hasJoined() {
-    return session.incarnation() > 0 && follower.record().index() >= session.joinedAt();
+    return session.incarnation() > 0 && subscriber.record().index() >= session.joinedIndex();
   }
 
   /** Whether its session holds by its own clock; if not it is alone. */
@@ -413,15 +424,15 @@
   public FleetView view() {
     String leader = isLeader() ? settings.self() : calls.leader();
     return new FleetView(
-        follower.record(),
-        follower.currentAsOfNanos(),
+        subscriber.record(),
+        subscriber.currentAsOfNanos(),
         leader == null ? "" : leader,
         calls.voters());
   }
 
   /** Says that it goes for good, and stops once that is on the record or the time is over. */
-  public CompletableFuture<Void> leave(long forNanos) {
-    return session.leave(forNanos).handle((done, failure) -> null).thenRun(this::stop);
+  public CompletableFuture<Void> leave(long timeoutNanos) {
+    return session.leave(timeoutNanos).handle((done, failure) -> null).thenRun(this::stop);
   }
 
   /** Ends at once, as if its process had. */
@@ -432,8 +443,8 @@
     stopped = true;
     calls.stop();
     session.stop();
-    follower.stop();
-    leadership.ends();
+    subscriber.stop();
+    leadership.stop();
     if (engine != null) {
       engine.stop();
     }
@@ -451,10 +462,10 @@
     }
   }
 
-  private final class FollowerOwner implements FeedSubscriber.Owner {
+  private final class SubscriberOwner implements FeedSubscriber.Owner {
     @Override
     public void send(String voter, byte[] packet) {
-      wire.send(voter, packet);
+      transport.send(voter, packet);
     }
 
     @Override
@@ -471,7 +482,7 @@
   private final class EngineOwner implements Engine.Owner {
     @Override
     public void send(VoterId to, byte[] message) {
-      wire.send(to.member(), Packets.raft(to.home(), message));
+      transport.send(to.member(), Packets.raft(to.home(), message));
     }
 
     @Override
@@ -489,23 +500,23 @@
     @Override
     public void leads(boolean leads, int term) {
       listener.event((leads ? "leads" : "follows") + " term=" + term);
-      leadership.leads(leads);
+      leadership.leadershipChanged(leads);
       if (leads) {
-        calls.leads(settings.self());
+        calls.setLeader(settings.self());
       }
     }
 
     @Override
     public void parted(String why) {
       listener.event("restarts engine why=\"" + why + "\"");
-      leadership.leads(false);
+      leadership.leadershipChanged(false);
       // Not at once, as what has happened may happen again.
       turns.after(settings.heartbeatNanos(), Member.this::restartEngine);
     }
 
     @Override
-    public void failed(IOException why) {
-      Member.this.failed(why);
+    public void failed(IOException cause) {
+      Member.this.diskFailed(cause);
     }
   }
 }
--- a/src/main/java/hazelspoke/agreement/member/Packets.java
+++ b/src/main/java/hazelspoke/agreement/member/Packets.java
@@ -6,28 +6,30 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The packets between members: which they are, and how they are put together. */
+/** The kinds of packets between members, and their common encoding. */
 final class Packets {
-  /** One voter's engine to another's. */
+  /** A Raft message from one voter's engine to another's. */
   static final String RAFT = "raft";
 
-  /** Asks a voter for its folder's name and for the founders. */
+  /** Asks a voter for its store id and for the founders. */
   static final String WHO = "who";
 
+  /** The response to {@link #WHO}. */
   static final String IAM = "iam";
 
-  /** A call to whoever leads, and what became of it. */
+  /** A call to the leader. */
   static final String CALL = "call";
 
+  /** The response to {@link #CALL}. */
   static final String REPLY = "reply";
 
-  /** Tells a member that it is to be made a voter, and of the founders. */
+  /** Invites a member to become a voter, and names the founders. */
   static final String INVITE = "invite";
 
-  /** How far a member that was invited has been filled. */
+  /** Reports the index up to which an invited member has the record. */
   static final String FILLED = "filled";
 
-  /** Says that a member follows a voter's feed; see {@link hazelspoke.agreement.feed}. */
+  /** Subscribes to a voter's feed; see {@link hazelspoke.agreement.feed}. */
   static final String FOLLOW = FeedSubscriber.FOLLOW;
 
   static final String ENTRIES = Feed.ENTRIES;
@@ -36,16 +38,16 @@
 
   private Packets() {}
 
-  /** The fields of one, to be added to. */
-  static Map<String, Object> of(String kind) {
+  /** Returns the fields of a new packet of this kind, to which the caller adds its own. */
+  static Map<String, Object> ofKind(String kind) {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("kind", kind);
     return out;
   }
 
-  static byte[] raft(String toHome, byte[] message) {
-    Map<String, Object> out = of(RAFT);
-    out.put("to", toHome);
+  static byte[] raft(String toVoterId, byte[] message) {
+    Map<String, Object> out = ofKind(RAFT);
+    out.put("to", toVoterId);
     out.put("message", message);
     return Cbor.write(out);
   }
--- a/src/main/java/hazelspoke/agreement/member/SessionLeases.java
+++ b/src/main/java/hazelspoke/agreement/member/SessionLeases.java
@@ -14,77 +14,79 @@
  * leader itself was late counts against nobody.
  */
 class SessionLeases {
-  private record Count(long incarnation, long since, long endsAt, boolean lapsing) {}
+  private record Lease(long incarnation, long sinceIndex, long expiresAt, boolean isLapsing) {}
 
-  private final long length;
-  private final long tick;
-  private final Map<String, Count> counts = new HashMap<>();
-  private long tickedAt;
+  private final long durationNanos;
+  private final long tickNanos;
+  private final Map<String, Lease> leases = new HashMap<>();
+  private long lastTickNanos;
 
   /**
    * @param tickNanos how often {@link #tick} is called
    */
   SessionLeases(long leaseNanos, double drift, long tickNanos) {
-    length = (long) (leaseNanos * (1 + drift));
-    tick = tickNanos;
+    durationNanos = (long) (leaseNanos * (1 + drift));
+    this.tickNanos = tickNanos;
   }
 
   /** The leadership begins; every term does as well, at the next tick. */
-  void begin(long now) {
-    counts.clear();
-    tickedAt = now;
+  void start(long now) {
+    leases.clear();
+    lastTickNanos = now;
   }
 
   /** A renewal counts, as the record shows it and a majority has confirmed. */
-  void renewed(Session session, long now) {
-    counts.put(session.member(), count(session, now));
+  void renew(Session session, long now) {
+    leases.put(session.member(), newLease(session, now));
   }
 
-  private Count count(Session session, long now) {
-    return new Count(session.incarnation(), session.sinceIndex(), now + length, false);
+  private Lease newLease(Session session, long now) {
+    return new Lease(session.incarnation(), session.sinceIndex(), now + durationNanos, false);
   }
 
   /**
    * Whether its lapse was given out, so that nothing may be said to the holder until it is known.
    */
   boolean isLapsing(Session session) {
-    Count count = counts.get(session.member());
-    return count != null
-        && count.incarnation == session.incarnation()
-        && count.since == session.sinceIndex()
-        && count.lapsing;
+    Lease lease = leases.get(session.member());
+    return lease != null
+        && lease.incarnation == session.incarnation()
+        && lease.sinceIndex == session.sinceIndex()
+        && lease.isLapsing;
   }
 
   /** The lapse could not be given out; it is tried again. */
-  void notLapsed(Session session) {
+  void lapseFailed(Session session) {
     if (isLapsing(session)) {
-      Count count = counts.get(session.member());
-      counts.put(session.member(), new Count(count.incarnation, count.since, count.endsAt, false));
+      Lease lease = leases.get(session.member());
+      leases.put(
+          session.member(), new Lease(lease.incarnation, lease.sinceIndex, lease.expiresAt, false));
     }
   }
 
   /** Those whose terms have ended; each is named once. */
   List<Session> tick(long now, Collection<Session> sessions) {
-    long late = Math.max(0, now - tickedAt - 2 * tick);
-    tickedAt = now;
-    List<Session> over = new ArrayList<>();
+    long stalledNanos = Math.max(0, now - lastTickNanos - 2 * tickNanos);
+    lastTickNanos = now;
+    List<Session> expired = new ArrayList<>();
     for (Session session : sessions) {
-      Count count = counts.get(session.member());
+      Lease lease = leases.get(session.member());
       if (session.status() != Status.THERE) {
-        counts.remove(session.member());
-      } else if (count == null
-          || count.incarnation != session.incarnation()
-          || count.since != session.sinceIndex()) {
-        counts.put(session.member(), count(session, now));
-      } else if (!count.lapsing) {
-        long endsAt = count.endsAt + late;
-        boolean ended = now - endsAt >= 0;
-        counts.put(session.member(), new Count(count.incarnation, count.since, endsAt, ended));
-        if (ended) {
-          over.add(session);
+        leases.remove(session.member());
+      } else if (lease == null
+          || lease.incarnation != session.incarnation()
+          || lease.sinceIndex != session.sinceIndex()) {
+        leases.put(session.member(), newLease(session, now));
+      } else if (!lease.isLapsing) {
+        long expiresAt = lease.expiresAt + stalledNanos;
+        boolean isExpired = now - expiresAt >= 0;
+        leases.put(
+            session.member(), new Lease(lease.incarnation, lease.sinceIndex, expiresAt, isExpired));
+        if (isExpired) {
+          expired.add(session);
         }
       }
     }
-    return over;
+    return expired;
   }
 }
--- a/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
+++ b/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
@@ -23,15 +23,15 @@
  */
 final class StoreIdentity {
   private static final String FILE = "member";
-  private static final String ASIDE = "aside-member";
-  private static final String DAMAGED = "damaged-";
+  private static final String TEMP_FILE = "aside-member";
+  private static final String DAMAGED_PREFIX = "damaged-";
 
   private final Disk disk;
   private final String fleet;
   private final String member;
-  private final String name;
+  private final String storeId;
   private List<VoterId> founders;
-  private long lives;
+  private long processEpoch;
   private Invitation invitation = Invitation.NONE;
 
   /**
@@ -41,7 +41,7 @@
    * @param term of the leader who said so
    * @param index of the entry
    */
-  record Invitation(String home, long term, long index) {
+  record Invitation(String voterStoreId, long term, long index) {
     static final Invitation NONE = new Invitation("", 0, 0);
 
     static Invitation read(Fields in) throws MalformedException {
@@ -49,7 +49,7 @@
     }
 
     void write(Map<String, Object> out) {
-      out.put("as", home);
+      out.put("as", voterStoreId);
       out.put("term", term);
       out.put("index", index);
     }
@@ -60,12 +60,17 @@
   }
 
   private StoreIdentity(
-      Disk disk, String fleet, String member, String name, List<VoterId> founders, long lives) {
-    this.lives = lives;
+      Disk disk,
+      String fleet,
+      String member,
+      String storeId,
+      List<VoterId> founders,
+      long processEpoch) {
+    this.processEpoch = processEpoch;
     this.disk = disk;
     this.fleet = fleet;
     this.member = member;
-    this.name = name;
+    this.storeId = storeId;
     this.founders = List.copyOf(founders);
   }
 
@@ -78,48 +83,48 @@
   static StoreIdentity open(Disk disk, String fleet, String member, Random random)
       throws IOException, WrongDataDirectoryException, MalformedException {
     Set<String> files = disk.list();
-    if (files.contains(ASIDE)) {
-      disk.delete(ASIDE);
+    if (files.contains(TEMP_FILE)) {
+      disk.delete(TEMP_FILE);
     }
     if (files.contains(FILE)) {
-      StoreIdentity home = read(disk, disk.read(FILE), fleet, member);
-      home.lives++;
-      home.write();
-      return home;
+      StoreIdentity identity = read(disk, disk.read(FILE), fleet, member);
+      identity.processEpoch++;
+      identity.write();
+      return identity;
     }
-    if (files.stream().anyMatch(f -> !f.equals(ASIDE) && !f.startsWith(DAMAGED))) {
+    if (files.stream().anyMatch(f -> !f.equals(TEMP_FILE) && !f.startsWith(DAMAGED_PREFIX))) {
       throw new MalformedException("the file " + FILE + " is gone");
     }
-    StoreIdentity made = new StoreIdentity(disk, fleet, member, draw(random), List.of(), 1);
-    made.write();
-    return made;
+    StoreIdentity created = new StoreIdentity(disk, fleet, member, randomId(random), List.of(), 1);
+    created.write();
+    return created;
   }
 
   /** Puts aside whatever is there, in place of what was put aside before, and begins anew. */
-  static StoreIdentity renew(Disk disk, String fleet, String member, Random random)
+  static StoreIdentity replace(Disk disk, String fleet, String member, Random random)
       throws IOException {
     for (String file : disk.list()) {
-      if (file.startsWith(DAMAGED)) {
+      if (file.startsWith(DAMAGED_PREFIX)) {
         disk.delete(file);
       }
     }
     // The name goes first: without it nothing of the rest is read again.
     if (disk.list().contains(FILE)) {
-      disk.rename(FILE, DAMAGED + FILE);
+      disk.rename(FILE, DAMAGED_PREFIX + FILE);
       disk.syncFolder();
     }
     for (String file : disk.list()) {
-      if (!file.startsWith(DAMAGED)) {
-        disk.rename(file, DAMAGED + file);
+      if (!file.startsWith(DAMAGED_PREFIX)) {
+        disk.rename(file, DAMAGED_PREFIX + file);
       }
     }
     disk.syncFolder();
-    StoreIdentity made = new StoreIdentity(disk, fleet, member, draw(random), List.of(), 1);
-    made.write();
-    return made;
+    StoreIdentity created = new StoreIdentity(disk, fleet, member, randomId(random), List.of(), 1);
+    created.write();
+    return created;
   }
 
-  private static String draw(Random random) {
+  private static String randomId(Random random) {
     return String.format(Locale.ROOT, "%016x", random.nextLong());
   }
 
@@ -127,25 +132,28 @@
       throws WrongDataDirectoryException, MalformedException {
     int length = bytes.length - Integer.BYTES;
     if (length < 0
-        || ByteBuffer.wrap(bytes, length, Integer.BYTES).getInt() != sum(bytes, length)) {
+        || ByteBuffer.wrap(bytes, length, Integer.BYTES).getInt() != checksum(bytes, length)) {
       throw new MalformedException("the file " + FILE + " is not what was written");
     }
     Fields in = Cbor.read(Arrays.copyOf(bytes, length));
     if (!in.text("fleet").equals(fleet) || !in.text("member").equals(member)) {
       throw new WrongDataDirectoryException(
-          "the data folder belongs to " + in.text("member") + " of " + in.text("fleet"));
+          "the data folder belongs to "
+              + in.text("member")
+              + " of "
+              + in.text("fleet"));
     }
     List<VoterId> founders = new ArrayList<>();
     for (String founder : in.texts("founders")) {
       founders.add(VoterId.parse(founder));
     }
-    StoreIdentity home =
+    StoreIdentity identity =
         new StoreIdentity(disk, fleet, member, in.text("home"), founders, in.number("lives"));
-    home.invitation = in.has("as") ? Invitation.read(in) : Invitation.NONE;
-    return home;
+    identity.invitation = in.has("as") ? Invitation.read(in) : Invitation.NONE;
+    return identity;
   }
 
-  private static int sum(byte[] bytes, int length) {
+  private static int checksum(byte[] bytes, int length) {
     CRC32C crc = new CRC32C();
     crc.update(bytes, 0, length);
     return (int) crc.getValue();
@@ -155,30 +163,31 @@
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("fleet", fleet);
     out.put("member", member);
-    out.put("home", name);
-    out.put("lives", lives);
+    out.put("home", storeId);
+    out.put("lives", processEpoch);
     out.put("founders", founders.stream().map(VoterId::toString).toList());
     invitation.write(out);
     byte[] body = Cbor.write(out);
-    try (Disk.Output file = disk.create(ASIDE)) {
+    try (Disk.Output file = disk.create(TEMP_FILE)) {
       file.write(
           ByteBuffer.allocate(body.length + Integer.BYTES)
               .put(body)
-              .putInt(sum(body, body.length))
+              .putInt(checksum(body, body.length))
               .array());
       file.sync();
     }
-    disk.rename(ASIDE, FILE);
+    disk.rename(TEMP_FILE, FILE);
     disk.syncFolder();
   }
 
-  String name() {
-    return name;
+  String storeId() {
+    return storeId;
   }
 
   /** Whose name its votes bear. */
-  VoterId voter() {
-    return new VoterId(member, invitation.home().isEmpty() ? name : invitation.home());
+  VoterId voterId() {
+    return new VoterId(
+        member, invitation.voterStoreId().isEmpty() ? storeId : invitation.voterStoreId());
   }
 
   Invitation invitation() {
@@ -186,14 +195,14 @@
   }
 
   /** Votes as somebody new from now on; lasting when this returns. */
-  void invite(Invitation by) throws IOException {
-    invitation = by;
+  void acceptInvitation(Invitation accepted) throws IOException {
+    invitation = accepted;
     write();
   }
 
   /** How many processes have used this folder, this one among them. */
-  long lives() {
-    return lives;
+  long processEpoch() {
+    return processEpoch;
   }
 
   /** The voters at the beginning of the record; empty as long as this folder knows of none. */
@@ -202,8 +211,8 @@
   }
 
   /** Keeps them; lasting when this returns. */
-  void found(List<VoterId> by) throws IOException {
-    founders = List.copyOf(by);
+  void writeFounders(List<VoterId> accepted) throws IOException {
+    founders = List.copyOf(accepted);
     write();
   }
 }
--- a/src/main/java/hazelspoke/agreement/member/VoterChanges.java
+++ b/src/main/java/hazelspoke/agreement/member/VoterChanges.java
@@ -22,19 +22,19 @@
  */
 final class VoterChanges {
   /** A member was not filled in time; the message is for operators. */
-  private static final class NotFilledException extends RuntimeException {
+  private static final class NotCaughtUpException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    NotFilledException(String message) {
+    NotCaughtUpException(String message) {
       super(message);
     }
   }
 
   /** One that is being filled. */
-  private static final class Invited {
+  private static final class Invitee {
     final VoterId voter;
-    final String folder;
-    final CompletableFuture<Void> filled = new CompletableFuture<>();
+    final String storeId;
+    final CompletableFuture<Void> caughtUp = new CompletableFuture<>();
 
     /** All of it: asked for again while it is under way, it is the same. */
     CompletableFuture<Void> added;
@@ -43,68 +43,72 @@
     StoreIdentity.Invitation invitation;
 
     /** Up to where it has to have the record then. */
-    long wanted;
+    long requiredIndex;
 
-    Invited(VoterId voter, String folder) {
+    Invitee(VoterId voter, String storeId) {
       this.voter = voter;
-      this.folder = folder;
+      this.storeId = storeId;
     }
   }
 
   /** Between a folder's name and what tells one voter of it from another. */
-  private static final String OF_FOLDER = "+";
+  private static final String VOTER_ID_SEPARATOR = "+";
 
   /** A member is waited for so many terms until it is filled. */
-  private static final int FILLED_TERMS = 6;
+  private static final int CATCH_UP_LEASES = 6;
 
   /** More votes than these bear no loss that matters, and slow every entry. */
-  private static final int MOST_VOTERS = 7;
+  private static final int MAX_VOTERS = 7;
 
   private final Turns turns;
-  private final Transport wire;
+  private final Transport transport;
 
   /** Between two invitations. */
-  private final long everyNanos;
+  private final long inviteIntervalNanos;
 
   /** How long one is waited for. */
-  private final long patienceNanos;
+  private final long catchUpTimeoutNanos;
 
-  private final Map<String, Invited> invited = new HashMap<>();
+  private final Map<String, Invitee> invitees = new HashMap<>();
   private final String self;
   private final Random random;
-  private final Components parts;
+  private final Components components;
   private Engine engine;
-  private int handedOver;
+  private int transfers;
   private List<VoterId> founders = List.of();
 
   VoterChanges(
-      MemberSettings settings, Random random, Turns turns, Transport wire, Components parts) {
+      MemberSettings settings,
+      Random random,
+      Turns turns,
+      Transport transport,
+      Components components) {
     self = settings.self();
-    everyNanos = 2 * settings.heartbeatNanos();
-    patienceNanos = FILLED_TERMS * settings.leaseNanos();
-    this.parts = parts;
+    inviteIntervalNanos = 2 * settings.heartbeatNanos();
+    catchUpTimeoutNanos = CATCH_UP_LEASES * settings.leaseNanos();
+    this.components = components;
     this.random = random;
     this.turns = turns;
-    this.wire = wire;
+    this.transport = transport;
   }
 
-  void begin(Engine of, List<VoterId> by) {
-    ends();
-    engine = of;
-    founders = List.copyOf(by);
+  void start(Engine engine, List<VoterId> founders) {
+    stop();
+    this.engine = engine;
+    this.founders = List.copyOf(founders);
   }
 
   /** Whoever waits is told that this is not the one to ask any more. */
-  void ends() {
-    for (Invited one : List.copyOf(invited.values())) {
-      one.filled.completeExceptionally(new IllegalStateException("leads no more"));
+  void stop() {
+    for (Invitee invitee : List.copyOf(invitees.values())) {
+      invitee.caughtUp.completeExceptionally(new IllegalStateException("leads no more"));
     }
   }
 
   /** What a failure says to operators, if it is that a member was not filled; else null. */
-  static String notFilled(Throwable failure) {
+  static String catchUpFailure(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-    return cause instanceof NotFilledException ? cause.getMessage() : null;
+    return cause instanceof NotCaughtUpException ? cause.getMessage() : null;
   }
 
   /**
@@ -112,16 +116,16 @@
    *
    * @param session the member's, or null
    */
-  String mayNot(boolean add, String member, Session session) {
+  String rejection(boolean add, String member, Session session) {
     List<VoterId> voters = engine.voters();
     long others = voters.stream().filter(v -> !v.member().equals(member)).count();
     if (add && (session == null || session.status() != Status.THERE)) {
       return member + " is not there: a voter has to be, to be filled";
     }
-    if (add && others >= MOST_VOTERS) {
-      return "there are " + MOST_VOTERS + " voters already";
+    if (add && others >= MAX_VOTERS) {
+      return "there are " + MAX_VOTERS + " voters already";
     }
-    if (!add && others < voters.size() && others < parts.leastVoters()) {
+    if (!add && others < voters.size() && others < components.minVoters()) {
       return others + " voters would be left, and no loss borne: add another one first";
     }
     return null;
@@ -133,87 +137,91 @@
    *
    * @param folder the name of the member's folder
    */
-  CompletableFuture<Void> add(String member, String folder) {
-    Invited under = invited.get(member);
-    if (under != null && under.folder.equals(folder)) {
-      return under.added;
+  CompletableFuture<Void> add(String member, String storeId) {
+    Invitee pending = invitees.get(member);
+    if (pending != null && pending.storeId.equals(storeId)) {
+      return pending.added;
     }
-    if (engine.voters().stream().anyMatch(v -> v.member().equals(member) && isOf(v, folder))) {
+    if (engine.voters().stream()
+        .anyMatch(v -> v.member().equals(member) && belongsTo(v, storeId))) {
       return CompletableFuture.completedFuture(null);
     }
-    VoterId voter = new VoterId(member, folder + OF_FOLDER + Integer.toHexString(random.nextInt()));
-    Invited one = new Invited(voter, folder);
-    invited.put(member, one);
-    one.added =
+    VoterId voter =
+        new VoterId(member, storeId + VOTER_ID_SEPARATOR + Integer.toHexString(random.nextInt()));
+    Invitee invitee = new Invitee(voter, storeId);
+    invitees.put(member, invitee);
+    invitee.added =
         engine
             .learn(voter)
             .thenCompose(
                 entry -> {
-                  one.invitation = new StoreIdentity.Invitation(voter.home(), engine.term(), entry);
+                  invitee.invitation =
+                      new StoreIdentity.Invitation(voter.home(), engine.term(), entry);
                   // What it applies are entries; a change of voters, as this was one, is none.
-                  one.wanted = engine.record().index();
-                  invite(one, turns.nanos() + patienceNanos);
-                  return one.filled;
+                  invitee.requiredIndex = engine.record().index();
+                  invite(invitee, turns.nanos() + catchUpTimeoutNanos);
+                  return invitee.caughtUp;
                 })
             .thenCompose(x -> removeOthers(member, voter))
             .thenCompose(x -> engine.promote(voter));
-    one.added.whenComplete((x, failure) -> invited.remove(member, one));
-    return one.added;
+    invitee.added.whenComplete((x, failure) -> invitees.remove(member, invitee));
+    return invitee.added;
   }
 
   /** A founder votes under its folder's name, any other under that and some more. */
-  private static boolean isOf(VoterId voter, String folder) {
-    return voter.home().equals(folder) || voter.home().startsWith(folder + OF_FOLDER);
+  private static boolean belongsTo(VoterId voter, String storeId) {
+    return voter.home().equals(storeId) || voter.home().startsWith(storeId + VOTER_ID_SEPARATOR);
   }
 
-  private void invite(Invited one, long until) {
-    if (one.filled.isDone()) {
+  private void invite(Invitee invitee, long deadlineNanos) {
+    if (invitee.caughtUp.isDone()) {
       return;
     }
-    if (turns.nanos() - until >= 0) {
-      one.filled.completeExceptionally(
-          new NotFilledException(
-              one.voter.member() + " was not filled in time; it has no vote yet, ask again"));
+    if (turns.nanos() - deadlineNanos >= 0) {
+      invitee.caughtUp.completeExceptionally(
+          new NotCaughtUpException(
+              invitee.voter.member()
+                  + " was not filled in time; it has no vote yet, ask again"));
       return;
     }
-    Map<String, Object> out = Packets.of(Packets.INVITE);
-    out.put("home", one.folder);
+    Map<String, Object> out = Packets.ofKind(Packets.INVITE);
+    out.put("home", invitee.storeId);
     out.put("founders", founders.stream().map(VoterId::toString).toList());
-    one.invitation.write(out);
-    wire.send(one.voter.member(), Cbor.write(out));
-    turns.after(everyNanos, () -> invite(one, until));
+    invitee.invitation.write(out);
+    transport.send(invitee.voter.member(), Cbor.write(out));
+    turns.after(inviteIntervalNanos, () -> invite(invitee, deadlineNanos));
   }
 
   /** Hears how far one has the record. */
-  void filled(String member, String as, long index) {
-    Invited one = invited.get(member);
-    if (one != null
-        && one.invitation != null
-        && one.invitation.home().equals(as)
-        && index >= one.wanted) {
-      one.filled.complete(null);
+  void caughtUp(String member, String voterStoreId, long index) {
+    Invitee invitee = invitees.get(member);
+    if (invitee != null
+        && invitee.invitation != null
+        && invitee.invitation.voterStoreId().equals(voterStoreId)
+        && index >= invitee.requiredIndex) {
+      invitee.caughtUp.complete(null);
     }
   }
 
   /** Ends the vote of a member, whatever its folder. Who leads hands that over first, and fails. */
   CompletableFuture<Void> remove(String member) {
-    if (!member.equals(self) || !parts.handsOverBeforeItsRemoval()) {
+    if (!member.equals(self) || !components.transfersLeadershipBeforeOwnRemoval()) {
       return removeOthers(member, null);
     }
     List<VoterId> others =
         engine.voters().stream().filter(v -> !v.member().equals(member)).toList();
     return engine
-        .handOver(others.get(handedOver++ % others.size()))
+        .handOver(others.get(transfers++ % others.size()))
         .thenRun(
             () -> {
               throw new IllegalStateException("leads no more");
             });
   }
 
-  private CompletableFuture<Void> removeOthers(String member, VoterId but) {
+  private CompletableFuture<Void> removeOthers(String member, VoterId kept) {
     CompletableFuture<Void> change = CompletableFuture.completedFuture(null);
     for (VoterId voter : engine.filled()) {
-      if (voter.member().equals(member) && !voter.equals(but)) {
+      if (voter.member().equals(member) && !voter.equals(kept)) {
         change = change.thenCompose(x -> engine.remove(voter));
       }
     }
--- a/src/main/java/hazelspoke/agreement/record/Command.java
+++ b/src/main/java/hazelspoke/agreement/record/Command.java
@@ -6,49 +6,49 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What an entry of the record asks for. */
+/** A change of the record that one entry requests. */
 public sealed interface Command {
-  /** The longest name, key or address, in characters. */
+  /** The maximum length of a name, key or address. */
   int MAX_NAME_CHARS = 255;
 
-  /** The longest value of a note, in characters. */
+  /** The maximum length of a note's value. */
   int MAX_NOTE_CHARS = 4_096;
 
   /**
-   * A process begins to belong.
+   * A process joins the fleet.
    *
-   * @param member its name in the fleet
-   * @param storeId its data folder's own name, which nobody else has; only one process uses a
-   *     folder
-   * @param sessionEpoch higher than those of all processes that used the folder before
-   * @param address where the others reach it
+   * @param member the name of the process in the fleet
+   * @param storeId the unique id of its data directory, which only one process uses at a time
+   * @param sessionEpoch higher than every earlier epoch of the same data directory
+   * @param address where other members reach the process
    */
   record Join(String member, String storeId, long sessionEpoch, String address)
       implements Command {}
 
-  /** A process goes for good. */
+  /** A process leaves the fleet for good. */
   record Leave(String member, long incarnation) implements Command {}
 
-  /** Its term ran out at a leader. */
+  /** The lease of a process expired at a leader. */
   record Lapse(String member, long incarnation) implements Command {}
 
-  /** It was silent and is here again. */
+  /** A process whose lease had expired renews again. */
   record Back(String member, long incarnation) implements Command {}
 
-  /** It is certain to be over: its machine refuses connections at its port. */
+  /** A process has ended for certain: its machine refuses connections at its port. */
   record Refused(String member, long incarnation) implements Command {}
 
-  /** It is certain to be over: an operator says so, by name. */
+  /** A process has ended for certain: an operator confirms it by the member's name. */
   record Vouch(String member) implements Command {}
 
   /**
-   * A text that operators and gateways leave for one another.
+   * Writes a text that operators and gateways share under a key.
    *
-   * @param expected the version that it has to have, 0 for none yet; below 0 for any
+   * @param expected the version that the note must have before the write; 0 if it must not exist, a
+   *     negative number for any version
    */
   record Note(String key, long expected, String value) implements Command {}
 
-  /** The fields of a command, ready to be written. */
+  /** Returns the fields of a command for encoding. */
   static Map<String, Object> fields(Command command) {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("do", command.getClass().getSimpleName());
@@ -63,27 +63,27 @@
       out.put("key", note.key);
       out.put("expected", note.expected);
       out.put("value", note.value);
-    } else if (command instanceof Leave of) {
-      of(out, of.member, of.incarnation);
-    } else if (command instanceof Lapse of) {
-      of(out, of.member, of.incarnation);
-    } else if (command instanceof Back of) {
-      of(out, of.member, of.incarnation);
-    } else if (command instanceof Refused of) {
-      of(out, of.member, of.incarnation);
+    } else if (command instanceof Leave leave) {
+      putSession(out, leave.member, leave.incarnation);
+    } else if (command instanceof Lapse lapse) {
+      putSession(out, lapse.member, lapse.incarnation);
+    } else if (command instanceof Back back) {
+      putSession(out, back.member, back.incarnation);
+    } else if (command instanceof Refused refused) {
+      putSession(out, refused.member, refused.incarnation);
     }
     return out;
   }
 
-  private static void of(Map<String, Object> out, String member, long incarnation) {
+  private static void putSession(Map<String, Object> out, String member, long incarnation) {
     out.put("member", member);
     out.put("incarnation", incarnation);
   }
 
   /**
-   * Reads what {@link #fields} has written.
+   * Reads a command from the fields that {@link #fields} returned.
    *
-   * @throws MalformedException for one that is unknown, lacks something or is too long
+   * @throws MalformedException if the command is unknown, lacks a field or exceeds a length limit
    */
   static Command read(Fields in) throws MalformedException {
     return switch (in.text("do")) {
@@ -117,12 +117,13 @@
   }
 
   /**
-   * A command with who gives it, so that a repeat is known as one.
+   * A command with its origin and sequence number, by which a repeated command is recognised.
    *
-   * @param origin a process's life or an operator's call, never used by another
-   * @param number of the command among its origin's, growing
+   * @param origin the session epoch of a process or the call of an operator; never reused
+   * @param number increases with each command of the same origin
    */
   record Numbered(String origin, long number, Command command) {
+    /** Encodes the command with its origin and number. */
     public byte[] bytes() {
       Map<String, Object> out = new LinkedHashMap<>();
       out.put("origin", origin);
@@ -132,9 +133,9 @@
     }
 
     /**
-     * Reads what {@link #bytes} has written.
+     * Decodes what {@link #bytes} returned.
      *
-     * @throws MalformedException for anything else
+     * @throws MalformedException if the bytes are malformed or the command is unknown
      */
     public static Numbered read(byte[] bytes) throws MalformedException {
       Fields in = Cbor.read(bytes);
--- a/src/main/java/hazelspoke/agreement/record/FleetRecord.java
+++ b/src/main/java/hazelspoke/agreement/record/FleetRecord.java
@@ -27,14 +27,14 @@
   /** A text with the index of the entry that wrote it. */
   public record NoteValue(long version, String value) {}
 
-  private record Last(long number, CommandResult answer) {}
+  private record LastCommand(long number, CommandResult result) {}
 
   private long index;
   private final TreeMap<String, Session> sessions = new TreeMap<>();
   private final TreeMap<String, NoteValue> notes = new TreeMap<>();
 
   /** In the order of their last commands. */
-  private final LinkedHashMap<String, Last> origins = new LinkedHashMap<>();
+  private final LinkedHashMap<String, LastCommand> origins = new LinkedHashMap<>();
 
   /** The index of the last entry that was applied; 0 before the first. */
   public long index() {
@@ -62,8 +62,8 @@
   }
 
   /** Goes on to an entry that says nothing here, such as a leader's first. */
-  public void advanceTo(long at) {
-    index = at;
+  public void advanceTo(long index) {
+    this.index = index;
   }
 
   /**
@@ -72,16 +72,16 @@
    *
    * @return what has become of a command; null where there is none
    */
-  public CommandResult applyEntry(long at, byte[] entry) {
+  public CommandResult applyEntry(long index, byte[] entry) {
     if (entry.length == 0) {
-      advanceTo(at);
+      advanceTo(index);
       return null;
     }
     try {
-      return apply(at, Command.Numbered.read(entry));
+      return apply(index, Command.Numbered.read(entry));
     } catch (MalformedException e) {
       // Of a later version, and the same for all that are of this one.
-      advanceTo(at);
+      advanceTo(index);
       return CommandResult.rejected(0, e.getMessage());
     }
   }
@@ -91,40 +91,40 @@
    *
    * @return what has become of it, the first time
    */
-  public CommandResult apply(long at, Command.Numbered entry) {
-    index = at;
-    Last last = origins.remove(entry.origin());
+  public CommandResult apply(long index, Command.Numbered entry) {
+    this.index = index;
+    LastCommand last = origins.remove(entry.origin());
     if (last != null && entry.number() <= last.number) {
       origins.put(entry.origin(), last);
       return entry.number() == last.number
-          ? last.answer
+          ? last.result
           : CommandResult.rejected(
               0, "a later command of " + entry.origin() + " came before this one");
     }
-    CommandResult answer = apply(entry.command());
-    origins.put(entry.origin(), new Last(entry.number(), answer));
+    CommandResult result = apply(entry.command());
+    origins.put(entry.origin(), new LastCommand(entry.number(), result));
     if (origins.size() > MAX_ORIGINS) {
       origins.remove(origins.keySet().iterator().next());
     }
-    return answer;
+    return result;
   }
 
   private CommandResult apply(Command command) {
     if (command instanceof Command.Join join) {
       return join(join);
     } else if (command instanceof Command.Leave leave) {
-      return ends(leave.member(), leave.incarnation(), Status.LEFT);
+      return endSession(leave.member(), leave.incarnation(), Status.LEFT);
     } else if (command instanceof Command.Lapse lapse) {
-      return turns(lapse.member(), lapse.incarnation(), Status.THERE, Status.SILENT);
+      return changeStatus(lapse.member(), lapse.incarnation(), Status.THERE, Status.SILENT);
     } else if (command instanceof Command.Back back) {
-      return turns(back.member(), back.incarnation(), Status.SILENT, Status.THERE);
+      return changeStatus(back.member(), back.incarnation(), Status.SILENT, Status.THERE);
     } else if (command instanceof Command.Refused refused) {
       // Only of one whose term is over already: who still renews is not over.
-      return turns(refused.member(), refused.incarnation(), Status.SILENT, Status.REFUSED);
+      return changeStatus(refused.member(), refused.incarnation(), Status.SILENT, Status.REFUSED);
     } else if (command instanceof Command.Vouch vouch) {
-      return vouch(vouch.member());
+      return confirmEnd(vouch.member());
     }
-    return note((Command.Note) command);
+    return writeNote((Command.Note) command);
   }
 
   private CommandResult join(Command.Join join) {
@@ -168,13 +168,13 @@
     return CommandResult.success(index);
   }
 
-  private Session of(String member, long incarnation) {
+  private Session sessionOf(String member, long incarnation) {
     Session session = sessions.get(member);
     return session != null && session.incarnation() == incarnation ? session : null;
   }
 
-  private CommandResult turns(String member, long incarnation, Status from, Status to) {
-    Session session = of(member, incarnation);
+  private CommandResult changeStatus(String member, long incarnation, Status from, Status to) {
+    Session session = sessionOf(member, incarnation);
     if (session == null) {
       return CommandResult.rejected(0, "another process has the name " + member);
     }
@@ -188,16 +188,16 @@
     return CommandResult.success(index);
   }
 
-  private CommandResult ends(String member, long incarnation, Status how) {
-    Session session = of(member, incarnation);
+  private CommandResult endSession(String member, long incarnation, Status status) {
+    Session session = sessionOf(member, incarnation);
     if (session == null || session.status().hasEnded()) {
       return CommandResult.success(0);
     }
-    sessions.put(member, session.with(how, index));
+    sessions.put(member, session.with(status, index));
     return CommandResult.success(index);
   }
 
-  private CommandResult vouch(String member) {
+  private CommandResult confirmEnd(String member) {
     Session session = sessions.get(member);
     if (session == null) {
       return CommandResult.rejected(0, "no member has the name " + member);
@@ -206,10 +206,10 @@
       return CommandResult.rejected(
           session.incarnation(), member + " renews in time: end it before you vouch for its end");
     }
-    return ends(member, session.incarnation(), Status.VOUCHED);
+    return endSession(member, session.incarnation(), Status.VOUCHED);
   }
 
-  private CommandResult note(Command.Note note) {
+  private CommandResult writeNote(Command.Note note) {
     NoteValue before = notes.get(note.key());
     long version = before == null ? 0 : before.version();
     if (note.expected() >= 0 && note.expected() != version) {
@@ -224,36 +224,36 @@
 
   /** All of it, the same bytes wherever the same entries were applied. */
   public byte[] bytes() {
-    List<Map<String, Object>> belonging = new ArrayList<>();
+    List<Map<String, Object>> encodedSessions = new ArrayList<>();
     for (Session s : sessions.values()) {
       Map<String, Object> out = Command.fields(join(s));
       out.put("incarnation", s.incarnation());
       out.put("standing", s.status().name());
       out.put("since", s.sinceIndex());
-      belonging.add(out);
+      encodedSessions.add(out);
     }
-    List<Map<String, Object>> written = new ArrayList<>();
+    List<Map<String, Object>> encodedNotes = new ArrayList<>();
     notes.forEach(
         (key, note) -> {
           Map<String, Object> out = new LinkedHashMap<>();
           out.put("key", key);
           out.put("version", note.version());
           out.put("value", note.value());
-          written.add(out);
+          encodedNotes.add(out);
         });
-    List<Map<String, Object>> known = new ArrayList<>();
+    List<Map<String, Object>> encodedOrigins = new ArrayList<>();
     origins.forEach(
         (origin, last) -> {
-          Map<String, Object> out = last.answer.fields();
+          Map<String, Object> out = last.result.fields();
           out.put("origin", origin);
           out.put("last", last.number);
-          known.add(out);
+          encodedOrigins.add(out);
         });
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("index", index);
-    out.put("sessions", belonging);
-    out.put("notes", written);
-    out.put("origins", known);
+    out.put("sessions", encodedSessions);
+    out.put("notes", encodedNotes);
+    out.put("origins", encodedOrigins);
     return Cbor.write(out);
   }
 
@@ -285,8 +285,10 @@
     for (Fields note : in.list("notes")) {
       out.notes.put(note.text("key"), new NoteValue(note.number("version"), note.text("value")));
     }
-    for (Fields o : in.list("origins")) {
-      out.origins.put(o.text("origin"), new Last(o.number("last"), CommandResult.read(o)));
+    for (Fields origin : in.list("origins")) {
+      out.origins.put(
+          origin.text("origin"),
+          new LastCommand(origin.number("last"), CommandResult.read(origin)));
     }
     return out;
   }
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulation.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulation.java
@@ -19,94 +19,97 @@
 import java.util.function.Supplier;
 
 /**
- * Five voters that apply one sequence of entries, each as late as drawn, and members that follow
- * them over ways that lose, double, delay and reorder. Voters end and come back, stand still, are
- * deposed and go on pushing, and start again from a snapshot; members end and begin anew. A leader
- * tells each member now and then how far the record is, as renewals do.
+ * Simulates five voters that apply one sequence of entries, each with random delays, and members
+ * that subscribe to them over links that lose, duplicate, delay and reorder packets. Voters crash
+ * and restart, stall, are deposed and keep sending, and restart from a snapshot; members crash and
+ * restart. A leader regularly reports the index of the record to each member, as lease renewals do.
  */
 final class FeedSimulation {
   private static final long MS = 1_000_000;
   private static final long SECOND = 1_000 * MS;
-  private static final int VOTERS = 5;
-  private static final long LENGTH = 30 * SECOND;
-  private static final long PEACE = 12 * SECOND;
+  private static final int VOTER_COUNT = 5;
+  private static final long FAULTY_NANOS = 30 * SECOND;
+  private static final long FAULT_FREE_NANOS = 12 * SECOND;
 
-  /** Within which a member knows what a leader that it can follow has told it. */
-  private static final long BOUND = 8 * SECOND;
+  /** How long a member may take to reach an index that a reachable leader has reported. */
+  private static final long MAX_LAG_NANOS = 8 * SECOND;
 
-  /** Few are kept and pieces are small, so that snapshots are needed and take long. */
-  private static FeedSettings pace(int members) {
+  /** Keeps few entries and sends small pieces, so that snapshots are needed and take long. */
+  private static FeedSettings settings(int members) {
     return new FeedSettings(25 * MS, SECOND, 300, 600L * members, 14, 4_000);
   }
 
-  /** Where a mutant lacks a guard. */
+  /** Creates the parts under test; a subclass removes one safeguard. */
   static class Mutant {
-    /** Whether a voter that was deposed pushes what was never agreed on. */
-    boolean pushesWhatIsNotAgreedOn;
+    /** Whether a deposed voter sends an entry that was never committed. */
+    boolean sendsUncommittedEntries;
 
-    Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-      return new Feed(turns, pace, record);
+    Feed feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
+      return new Feed(turns, settings, record);
     }
 
-    FeedSubscriber follower(
+    FeedSubscriber subscriber(
         String self,
         Turns turns,
         Random random,
-        FeedSettings pace,
+        FeedSettings settings,
         Supplier<List<String>> voters,
         FeedSubscriber.Owner owner) {
-      return new FeedSubscriber(self, turns, random, pace, voters, owner);
+      return new FeedSubscriber(self, turns, random, settings, voters, owner);
     }
   }
 
-  /** What one seed came to. */
-  record Outcome(String wrong, int entries, int pieces, int moves, long digest) {}
+  /** The result of one seed; {@code violation} is null if every check passed. */
+  record Outcome(String violation, int entries, int snapshotPieces, int switches, long digest) {}
 
-  private record Event(long at, long order, Runnable what) {}
+  private record Event(long time, long order, Runnable action) {}
 
-  private static final class Wrong extends RuntimeException {
+  private static final class Violation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    Wrong(String message) {
+    Violation(String message) {
       super(message);
     }
   }
 
   private final Random random;
   private final Mutant mutant;
-  private final FeedSettings pace;
+  private final FeedSettings settings;
   private final PriorityQueue<Event> queue =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+          (a, b) ->
+              a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.order, b.order));
   private final List<Voter> voters = new ArrayList<>();
   private final List<Member> members = new ArrayList<>();
   private final Map<String, Member> byName = new HashMap<>();
 
-  /** All entries, and the record's bytes up to each. */
+  /** All committed entries. */
   private final List<byte[]> log = new ArrayList<>();
 
-  private final List<Integer> sums = new ArrayList<>();
-  private final FleetRecord truth = new FleetRecord();
-  private final TreeMap<Long, Long> truthAt = new TreeMap<>();
+  /** The hash of the encoded record after each number of entries. */
+  private final List<Integer> expectedHashes = new ArrayList<>();
+
+  private final FleetRecord expectedRecord = new FleetRecord();
+  private final TreeMap<Long, Long> committedIndexAt = new TreeMap<>();
   private long now;
-  private long orders;
-  private int pieces;
-  private int moves;
+  private long eventCount;
+  private int snapshotPieces;
+  private int switches;
   private long digest;
 
-  private FeedSimulation(long seed, int count, Mutant mutant) {
+  private FeedSimulation(long seed, int memberCount, Mutant mutant) {
     this.mutant = mutant;
-    pace = pace(count);
+    settings = settings(memberCount);
     random = new Random(seed * 0x9E3779B97F4A7C15L + 7);
-    for (int i = 0; i < VOTERS; i++) {
+    for (int i = 0; i < VOTER_COUNT; i++) {
       voters.add(new Voter("v" + i));
     }
-    for (int i = 0; i < count; i++) {
+    for (int i = 0; i < memberCount; i++) {
       Member member = new Member("m" + i);
       members.add(member);
       byName.put(member.name, member);
     }
-    truthAt.put(0L, 0L);
+    committedIndexAt.put(0L, 0L);
   }
 
   static Outcome run(long seed, int members, Mutant mutant) {
@@ -114,51 +117,51 @@
   }
 
   private Outcome run() {
-    String wrong = null;
+    String violation = null;
     try {
-      sums.add(Arrays.hashCode(truth.bytes()));
+      expectedHashes.add(Arrays.hashCode(expectedRecord.bytes()));
       voters.forEach(Voter::start);
       for (Member member : members) {
         at(random.nextInt(1_000) * MS, member::start);
       }
       at(0, this::write);
       at(SECOND, this::fault);
-      runUntil(LENGTH);
+      runUntil(FAULTY_NANOS);
       voters.forEach(Voter::heal);
-      runUntil(LENGTH + PEACE);
+      runUntil(FAULTY_NANOS + FAULT_FREE_NANOS);
       for (Member member : members) {
-        if (member.follower == null || member.follower.record().index() < log.size()) {
-          throw new Wrong(member.name + " does not know all in the end");
+        if (member.subscriber == null || member.subscriber.record().index() < log.size()) {
+          throw new Violation(member.name + " does not know all in the end");
         }
       }
-    } catch (Wrong e) {
-      wrong = e.getMessage();
+    } catch (Violation e) {
+      violation = e.getMessage();
     } catch (IllegalStateException | IndexOutOfBoundsException e) {
-      wrong = "it threw " + e;
+      violation = "it threw " + e;
     }
-    return new Outcome(wrong, log.size(), pieces, moves, digest);
+    return new Outcome(violation, log.size(), snapshotPieces, switches, digest);
   }
 
-  private void at(long when, Runnable what) {
-    queue.add(new Event(when, orders++, what));
+  private void at(long time, Runnable action) {
+    queue.add(new Event(time, eventCount++, action));
   }
 
   private void runUntil(long end) {
-    while (!queue.isEmpty() && queue.peek().at <= end) {
+    while (!queue.isEmpty() && queue.peek().time <= end) {
       Event event = queue.poll();
-      now = event.at;
-      event.what.run();
+      now = event.time;
+      event.action.run();
     }
     now = end;
   }
 
-  /** An entry is agreed on, now and then many; each voter applies it when it comes to it. */
+  /** Commits an entry, sometimes several in a burst; each voter applies it after its own delay. */
   private void write() {
-    if (now < LENGTH) {
+    if (now < FAULTY_NANOS) {
       at(
           now + (random.nextInt(12) == 0 ? random.nextInt(8) : random.nextInt(700)) * MS,
           this::write);
-    } else if (now > LENGTH + PEACE / 2) {
+    } else if (now > FAULTY_NANOS + FAULT_FREE_NANOS / 2) {
       return;
     } else {
       at(now + SECOND, this::write);
@@ -174,26 +177,26 @@
                         "k" + random.nextInt(6), -1, "v".repeat(random.nextInt(90)) + index))
                 .bytes();
     log.add(entry);
-    truth.applyEntry(index, entry);
-    sums.add(Arrays.hashCode(truth.bytes()));
-    truthAt.put(now, index);
-    voters.forEach(Voter::soon);
+    expectedRecord.applyEntry(index, entry);
+    expectedHashes.add(Arrays.hashCode(expectedRecord.bytes()));
+    committedIndexAt.put(now, index);
+    voters.forEach(Voter::scheduleApply);
   }
 
   private void fault() {
-    if (now >= LENGTH) {
+    if (now >= FAULTY_NANOS) {
       return;
     }
     at(now + (100 + random.nextInt(900)) * MS, this::fault);
-    Voter voter = voters.get(random.nextInt(VOTERS - 1));
+    Voter voter = voters.get(random.nextInt(VOTER_COUNT - 1));
     long until = now + (200 + random.nextInt(6_000)) * MS;
     switch (random.nextInt(7)) {
       case 0 -> voter.end(until);
-      case 1 -> voter.stillUntil = until;
+      case 1 -> voter.pausedUntil = until;
       case 2 -> voter.deposedUntil = now + (200 + random.nextInt(14_000)) * MS;
       case 3 -> voter.restart();
       case 4 -> {
-        // All of a zone come back in one moment.
+        // All members of a zone restart at nearly the same time.
         for (Member member : members) {
           member.end();
           at(now + (100 + random.nextInt(100)) * MS, member::start);
@@ -207,16 +210,16 @@
     }
   }
 
-  /** A way on which anything may happen to a packet. */
-  private void carry(byte[] packet, Consumer<byte[]> to) {
-    boolean calm = now > LENGTH;
-    int luck = calm ? 100 : random.nextInt(100);
-    if (luck < 6) {
+  /** A link that may lose, duplicate, delay or reorder a packet. */
+  private void transmit(byte[] packet, Consumer<byte[]> to) {
+    boolean isFaultFree = now > FAULTY_NANOS;
+    int percent = isFaultFree ? 100 : random.nextInt(100);
+    if (percent < 6) {
       return;
     }
     long delay = (200 + random.nextInt(3_000)) * 1_000L;
     at(now + delay, () -> to.accept(packet));
-    if (luck < 12) {
+    if (percent < 12) {
       at(now + delay + random.nextInt(900) * MS, () -> to.accept(packet));
     }
   }
@@ -225,13 +228,13 @@
     try {
       return Cbor.read(packet);
     } catch (MalformedException e) {
-      throw new Wrong("a packet that is none: " + e.getMessage());
+      throw new Violation("a packet that is none: " + e.getMessage());
     }
   }
 
-  /** A life of a process, whose turns end with it. */
-  private final class Life implements Turns {
-    private boolean over;
+  /** One run of a process; its scheduled tasks are dropped when it ends. */
+  private final class ProcessLife implements Turns {
+    private boolean ended;
 
     @Override
     public long nanos() {
@@ -239,17 +242,17 @@
     }
 
     @Override
-    public void execute(Runnable what) {
-      after(0, what);
+    public void execute(Runnable action) {
+      after(0, action);
     }
 
     @Override
-    public void after(long nanos, Runnable what) {
+    public void after(long nanos, Runnable action) {
       at(
           now + nanos,
           () -> {
-            if (!over) {
-              what.run();
+            if (!ended) {
+              action.run();
             }
           });
     }
@@ -257,10 +260,10 @@
 
   private final class Voter {
     private final String name;
-    private Life life;
+    private ProcessLife life;
     private Feed feed;
     private FleetRecord record = new FleetRecord();
-    private long stillUntil;
+    private long pausedUntil;
     private long deposedUntil;
     private boolean forked;
     private long windowFrom;
@@ -271,38 +274,38 @@
     }
 
     void start() {
-      life = new Life();
-      feed = mutant.feed(life, pace, () -> record);
+      life = new ProcessLife();
+      feed = mutant.feed(life, settings, () -> record);
       if (record.index() > 0) {
         feed.installed(record.index());
       }
-      soon();
+      scheduleApply();
     }
 
-    /** Its process ends and comes back with the record as it was, or as it was some time ago. */
+    /** Crashes the process; it restarts with its newest record or with an older one. */
     void end(long until) {
-      if (life.over) {
+      if (life.ended) {
         return;
       }
-      life.over = true;
+      life.ended = true;
       at(
           until,
           () -> {
-            back(random.nextBoolean() ? record.index() : record.index() / 2);
+            restoreTo(random.nextBoolean() ? record.index() : record.index() / 2);
             start();
           });
     }
 
-    /** Its engine starts anew from its snapshot, and applies again what comes after it. */
+    /** Restarts the engine from a snapshot; it applies the entries after that again. */
     void restart() {
-      if (!life.over) {
-        back(record.index() / 2);
+      if (!life.ended) {
+        restoreTo(record.index() / 2);
         feed.installed(record.index());
-        soon();
+        scheduleApply();
       }
     }
 
-    private void back(long index) {
+    private void restoreTo(long index) {
       record = new FleetRecord();
       for (int i = 0; i < index; i++) {
         record.applyEntry(i + 1, log.get(i));
@@ -311,36 +314,36 @@
     }
 
     void heal() {
-      stillUntil = 0;
+      pausedUntil = 0;
       deposedUntil = 0;
-      if (life.over) {
-        back(record.index());
+      if (life.ended) {
+        restoreTo(record.index());
         start();
       }
       if (forked) {
-        life.over = true;
-        back(record.index() - 1);
+        life.ended = true;
+        restoreTo(record.index() - 1);
         start();
       }
-      soon();
+      scheduleApply();
     }
 
-    void soon() {
+    void scheduleApply() {
       life.after(random.nextInt(60) * MS, this::apply);
     }
 
     private void apply() {
-      long late = Math.max(stillUntil, deposedUntil);
-      if (late > now) {
-        if (mutant.pushesWhatIsNotAgreedOn && deposedUntil > now && !forked) {
+      long resumesAt = Math.max(pausedUntil, deposedUntil);
+      if (resumesAt > now) {
+        if (mutant.sendsUncommittedEntries && deposedUntil > now && !forked) {
           forked = true;
-          byte[] own =
+          byte[] uncommitted =
               new Command.Numbered(name, 1, new Command.Note("k0", -1, "not agreed on")).bytes();
           long index = record.index() + 1;
-          record.applyEntry(index, own);
-          feed.applied(index, own);
+          record.applyEntry(index, uncommitted);
+          feed.applied(index, uncommitted);
         }
-        life.after(late - now, this::apply);
+        life.after(resumesAt - now, this::apply);
         return;
       }
       while (record.index() < log.size()) {
@@ -352,98 +355,101 @@
     }
 
     void received(String from, byte[] packet) {
-      if (life.over || stillUntil > now) {
+      if (life.ended || pausedUntil > now) {
         return;
       }
       Member member = byName.get(from);
       try {
-        feed.follow(from, read(packet), back -> send(member, member.lives, back));
+        feed.follow(from, read(packet), reply -> send(member, member.lifeCount, reply));
       } catch (MalformedException e) {
-        throw new Wrong("a call that is none: " + e.getMessage());
+        throw new Violation("a call that is none: " + e.getMessage());
       }
     }
 
-    /** The connection ends with the life at the other end. */
-    private void send(Member to, int itsLife, byte[] packet) {
-      paced(packet);
-      carry(
+    /** Sends to the member's current run; packets to an earlier run are dropped. */
+    private void send(Member to, int memberLife, byte[] packet) {
+      checkSnapshotRate(packet);
+      transmit(
           packet,
           p -> {
-            if (to.lives == itsLife && to.follower != null) {
+            if (to.lifeCount == memberLife && to.subscriber != null) {
               to.received(name, p);
             }
           });
     }
 
-    /** Of snapshots no more than the stated rate, with one burst and one piece over. */
-    private void paced(byte[] packet) {
+    /** Checks the rate of snapshot bytes; one burst and one piece may exceed it. */
+    private void checkSnapshotRate(byte[] packet) {
       Fields in = read(packet);
       try {
         if (in.text("kind").equals(Feed.PIECE) && in.bytes("bytes").length > 0) {
-          pieces++;
+          snapshotPieces++;
           if (now - windowFrom > SECOND) {
             windowFrom = now;
             windowBytes = 0;
           }
           windowBytes += in.bytes("bytes").length;
-          long most = pace.bytesASecond() + pace.bytesASecond() / 20 + 2L * pace.pieceBytes();
-          if (windowBytes > most) {
-            throw new Wrong(name + " sent " + windowBytes + " bytes of snapshots in a second");
+          long maxBytes =
+              settings.snapshotBytesPerSecond()
+                  + settings.snapshotBytesPerSecond() / 20
+                  + 2L * settings.pieceBytes();
+          if (windowBytes > maxBytes) {
+            throw new Violation(name + " sent " + windowBytes + " bytes of snapshots in a second");
           }
         }
       } catch (MalformedException e) {
-        throw new Wrong("a packet that lacks something: " + e.getMessage());
+        throw new Violation("a packet that lacks something: " + e.getMessage());
       }
     }
   }
 
   private final class Member implements FeedSubscriber.Owner {
     private final String name;
-    private int lives;
-    private Life life;
-    private FeedSubscriber follower;
-    private long known;
-    private long toldIndex;
-    private long toldAt;
+    private int lifeCount;
+    private ProcessLife life;
+    private FeedSubscriber subscriber;
+    private long lastIndex;
+    private long reportedIndex;
+    private long reportedAt;
 
     Member(String name) {
       this.name = name;
     }
 
     void start() {
-      if (follower != null) {
+      if (subscriber != null) {
         return;
       }
-      lives++;
-      known = 0;
-      toldIndex = 0;
-      life = new Life();
+      lifeCount++;
+      lastIndex = 0;
+      reportedIndex = 0;
+      life = new ProcessLife();
       List<String> names = voters.stream().map(v -> v.name).toList();
-      follower =
-          mutant.follower(name, life, new Random(random.nextLong()), pace, () -> names, this);
-      follower.begin();
+      subscriber =
+          mutant.subscriber(name, life, new Random(random.nextLong()), settings, () -> names, this);
+      subscriber.start();
       life.after(random.nextInt(2_500) * MS, this::renewed);
     }
 
     void end() {
-      if (follower != null) {
-        follower.stop();
-        life.over = true;
-        follower = null;
+      if (subscriber != null) {
+        subscriber.stop();
+        life.ended = true;
+        subscriber = null;
       }
     }
 
-    /** The last voter is the leader, never fails, and says how far the record is. */
+    /** The last voter is the leader and never fails; it reports the index of the record. */
     private void renewed() {
       long askedAt = now;
       long index = log.size();
       life.after(
           (1 + random.nextInt(20)) * MS,
           () -> {
-            follower.told("v" + (VOTERS - 1), index, askedAt);
-            if (toldIndex <= known && index > known) {
-              toldIndex = index;
-              toldAt = now;
+            subscriber.leaderReported("v" + (VOTER_COUNT - 1), index, askedAt);
+            if (reportedIndex <= lastIndex && index > lastIndex) {
+              reportedIndex = index;
+              reportedAt = now;
             }
           });
       life.after(2_250 * MS + random.nextInt(500) * MS, this::renewed);
@@ -454,23 +460,23 @@
       Fields in = read(packet);
       try {
         if (in.text("kind").equals(Feed.ENTRIES)) {
-          follower.entries(from, in);
+          subscriber.receiveEntries(from, in);
         } else {
-          follower.piece(from, in);
+          subscriber.receivePiece(from, in);
         }
       } catch (MalformedException e) {
-        throw new Wrong(name + " was sent what is malformed: " + e.getMessage());
+        throw new Violation(name + " was sent what is malformed: " + e.getMessage());
       }
     }
 
     @Override
     public void send(String voter, byte[] packet) {
       Voter to = voters.get(voter.charAt(1) - '0');
-      int itsLife = lives;
-      carry(
+      int memberLife = lifeCount;
+      transmit(
           packet,
           p -> {
-            if (lives == itsLife && follower != null) {
+            if (lifeCount == memberLife && subscriber != null) {
               to.received(name, p);
             }
           });
@@ -481,38 +487,46 @@
       check();
     }
 
-    /** What was agreed on at the same moment may have been so after it. */
-    private long truthBefore(long at) {
-      Map.Entry<Long, Long> before = truthAt.lowerEntry(at);
+    /** Entries that were committed at the same time may have been committed after it. */
+    private long committedIndexBefore(long at) {
+      Map.Entry<Long, Long> before = committedIndexAt.lowerEntry(at);
       return before == null ? 0 : before.getValue();
     }
 
     private void check() {
-      FleetRecord record = follower.record();
+      FleetRecord record = subscriber.record();
       long index = record.index();
-      if (index < known) {
-        throw new Wrong(name + " went back from " + known + " to " + index);
+      if (index < lastIndex) {
+        throw new Violation(name + " went back from " + lastIndex + " to " + index);
       }
-      if (index != known) {
-        if (index > log.size() || Arrays.hashCode(record.bytes()) != sums.get((int) index)) {
-          throw new Wrong(name + " has another record up to " + index);
+      if (index != lastIndex) {
+        if (index > log.size()
+            || Arrays.hashCode(record.bytes()) != expectedHashes.get((int) index)) {
+          throw new Violation(name + " has another record up to " + index);
         }
         digest = 31 * digest + index + now;
       }
-      known = index;
-      // Up to then, as it says, the record went no further than it knows.
-      OptionalLong at = follower.currentAsOfNanos();
-      if (at.isPresent() && truthBefore(at.getAsLong()) > index) {
-        throw new Wrong(name + " says it had all at " + at + ", and has " + index);
+      lastIndex = index;
+      // The record must have had no higher index at the time as of which the member claims to be
+      // complete.
+      OptionalLong at = subscriber.currentAsOfNanos();
+      if (at.isPresent() && committedIndexBefore(at.getAsLong()) > index) {
+        throw new Violation(
+            name + " says it had all at " + at + ", and has " + index);
       }
-      if (toldIndex > known && now - toldAt > BOUND) {
-        throw new Wrong(name + " was told of " + toldIndex + " long ago and has " + known);
+      if (reportedIndex > lastIndex && now - reportedAt > MAX_LAG_NANOS) {
+        throw new Violation(
+            name
+                + " was told of "
+                + reportedIndex
+                + " long ago and has "
+                + lastIndex);
       }
     }
 
     @Override
     public void event(String line) {
-      moves++;
+      switches++;
     }
   }
 }
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
@@ -22,21 +22,21 @@
 class FeedSimulationTest {
   /** Feeds that lack one guard each. */
   enum Mutants {
-    TAKES_ENTRIES_ACROSS_A_GAP {
+    APPLIES_ENTRIES_ACROSS_A_GAP {
       @Override
       Mutant make() {
         return new Mutant() {
           @Override
-          FeedSubscriber follower(
+          FeedSubscriber subscriber(
               String self,
               Turns turns,
               Random random,
-              FeedSettings pace,
-              Supplier<List<String>> v,
-              FeedSubscriber.Owner o) {
-            return new FeedSubscriber(self, turns, random, pace, v, o) {
+              FeedSettings settings,
+              Supplier<List<String>> voters,
+              FeedSubscriber.Owner owner) {
+            return new FeedSubscriber(self, turns, random, settings, voters, owner) {
               @Override
-              protected boolean follows(long previous) {
+              protected boolean hasAllUpTo(long previous) {
                 return true;
               }
             };
@@ -44,21 +44,21 @@
         };
       }
     },
-    STAYS_HOWEVER_FAR_BEHIND {
+    NEVER_LEAVES_A_LAGGING_VOTER {
       @Override
       Mutant make() {
         return new Mutant() {
           @Override
-          FeedSubscriber follower(
+          FeedSubscriber subscriber(
               String self,
               Turns turns,
               Random random,
-              FeedSettings pace,
-              Supplier<List<String>> v,
-              FeedSubscriber.Owner o) {
-            return new FeedSubscriber(self, turns, random, pace, v, o) {
+              FeedSettings settings,
+              Supplier<List<String>> voters,
+              FeedSubscriber.Owner owner) {
+            return new FeedSubscriber(self, turns, random, settings, voters, owner) {
               @Override
-              protected boolean isBehind(long forNanos) {
+              protected boolean isBehind(long overdueNanos) {
                 return false;
               }
             };
@@ -66,28 +66,28 @@
         };
       }
     },
-    PUSHES_WHAT_IS_NOT_AGREED_ON {
+    SENDS_UNCOMMITTED_ENTRIES {
       @Override
       Mutant make() {
         Mutant mutant = new Mutant();
-        mutant.pushesWhatIsNotAgreedOn = true;
+        mutant.sendsUncommittedEntries = true;
         return mutant;
       }
     },
-    CHANGES_WHAT_IT_HAS_SENT {
+    MODIFIES_SENT_PACKETS {
       @Override
       Mutant make() {
         return new Mutant() {
           @Override
-          Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-            return new Feed(turns, pace, record) {
-              private byte[] before = {};
+          Feed feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
+            return new Feed(turns, settings, record) {
+              private byte[] previous = {};
 
               @Override
               protected byte[] encoded(byte[] packet) {
                 // As with one buffer for all: the next packet is written over the one before.
-                System.arraycopy(packet, 0, before, 0, Math.min(packet.length, before.length));
-                before = packet;
+                System.arraycopy(packet, 0, previous, 0, Math.min(packet.length, previous.length));
+                previous = packet;
                 return packet;
               }
             };
@@ -95,15 +95,15 @@
         };
       }
     },
-    CATCHES_UP_WITHOUT_A_BOUND {
+    IGNORES_THE_SNAPSHOT_RATE {
       @Override
       Mutant make() {
         return new Mutant() {
           @Override
-          Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-            return new Feed(turns, pace, record) {
+          Feed feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
+            return new Feed(turns, settings, record) {
               @Override
-              protected boolean mayPay(double left) {
+              protected boolean maySend(double budgetBytes) {
                 return true;
               }
             };
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void whatMustHoldHoldsUnderDrawnFaults() {
+  void keepsInvariantsUnderRandomFaults() {
     long seeds = Long.getLong("feed.seeds", 2_000);
     long first = Long.getLong("feed.first", 0);
     int members = Integer.getInteger("feed.members", 5);
@@ -126,16 +126,17 @@
             .mapToObj(seed -> FeedSimulation.run(seed, members, new Mutant()))
             .toList();
     for (int i = 0; i < outcomes.size(); i++) {
-      assertThat(outcomes.get(i).wrong()).as("seed %d", first + i).isNull();
+      assertThat(outcomes.get(i).violation()).as("seed %d", first + i).isNull();
     }
     // A play with no snapshot and nobody that leaves a voter shows little.
     assertThat(outcomes.stream().mapToLong(Outcome::entries).sum()).isGreaterThan(40 * seeds);
-    assertThat(outcomes.stream().mapToLong(Outcome::pieces).sum()).isGreaterThan(20 * seeds);
-    assertThat(outcomes.stream().mapToLong(Outcome::moves).sum()).isGreaterThan(seeds);
+    assertThat(outcomes.stream().mapToLong(Outcome::snapshotPieces).sum())
+        .isGreaterThan(20 * seeds);
+    assertThat(outcomes.stream().mapToLong(Outcome::switches).sum()).isGreaterThan(seeds);
   }
 
   @Test
-  void aSeedGivesTheSameTwice() {
+  void givesTheSameOutcomeForTheSameSeed() {
     for (long seed = 0; seed < 10; seed++) {
       Outcome once = FeedSimulation.run(seed, 5, new Mutant());
       assertThat(FeedSimulation.run(seed, 5, new Mutant())).isEqualTo(once);
@@ -144,21 +145,21 @@
 
   @ParameterizedTest
   @ValueSource(ints = {100, 540})
-  void largeFleetsKnowAllInTheEnd(int members) {
-    assertThat(FeedSimulation.run(1, members, new Mutant()).wrong()).isNull();
+  void allMembersOfLargeFleetsCatchUp(int members) {
+    assertThat(FeedSimulation.run(1, members, new Mutant()).violation()).isNull();
   }
 
   @ParameterizedTest
   @EnumSource(Mutants.class)
-  void aFeedThatLacksAGuardIsFoundWithin200Seeds(Mutants mutant) {
-    long[] found =
+  void findsEachMutantWithin200Seeds(Mutants mutant) {
+    long[] foundBy =
         LongStream.range(0, 200)
             .parallel()
-            .filter(seed -> FeedSimulation.run(seed, 5, mutant.make()).wrong() != null)
+            .filter(seed -> FeedSimulation.run(seed, 5, mutant.make()).violation() != null)
             .toArray();
     if (Boolean.getBoolean("feed.mutants")) {
-      System.out.println(mutant + ": " + found.length + " of 200");
+      System.out.println(mutant + ": " + foundBy.length + " of 200");
     }
-    assertThat(found).isNotEmpty();
+    assertThat(foundBy).isNotEmpty();
   }
 }
--- a/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
+++ b/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
@@ -43,14 +43,14 @@
 final class FleetSimulation {
   private static final long MS = 1_000_000;
   private static final long SECOND = 1_000 * MS;
-  static final long TERM = 3 * SECOND;
+  static final long LEASE = 3 * SECOND;
   static final double DRIFT = 0.05;
-  private static final long FAULTS_FOR = 25 * SECOND;
-  private static final long HEALED_FOR = 30 * SECOND;
+  private static final long FAULTY_NANOS = 25 * SECOND;
+  private static final long FAULT_FREE_NANOS = 30 * SECOND;
   private static final int KEYS = 2;
-  private static final int MOST_CALLS = 90;
-  private static final int LEAST_VOTERS = 3;
-  private static final int MOST_VOTERS = 5;
+  private static final int MAX_CALLS = 90;
+  private static final int MIN_VOTERS = 3;
+  private static final int MAX_VOTERS = 5;
 
   // The engine says much; held here, as loggers that nobody holds forget their levels.
   private static final Logger ENGINE = Logger.getLogger("io.microraft");
@@ -65,13 +65,13 @@
     double drift = DRIFT;
 
     /** Whether a disk that was lost leaves the folder's name behind. */
-    boolean lostDiskKeepsItsName;
+    boolean lostDiskKeepsStoreId;
 
     /** Whether a client that asks again numbers its command anew. */
-    boolean numbersAnew;
+    boolean repeatsUseNewOrigin;
 
     UnaryOperator<Disk> disk = disk -> disk;
-    SmallFeeds parts = new SmallFeeds();
+    SmallFeeds components = new SmallFeeds();
   }
 
   /** Few entries are kept and pieces are small, so that snapshots are needed by who follows. */
@@ -80,8 +80,8 @@
     private final TreeSet<Long> entries = new TreeSet<>();
 
     @Override
-    Feed feed(Turns turns, FeedSettings pace, Supplier<FleetRecord> record) {
-      return new Feed(turns, pace, record) {
+    Feed feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
+      return new Feed(turns, settings, record) {
         @Override
         public void applied(long index, byte[] entry) {
           super.applied(index, entry);
@@ -91,7 +91,7 @@
     }
 
     @Override
-    FeedSettings pace(MemberSettings settings) {
+    FeedSettings feedSettings(MemberSettings settings) {
       return new FeedSettings(25 * MS, SECOND, 1_000, 200_000, 20, 8_000);
     }
   }
@@ -99,7 +99,7 @@
   /** What one seed came to. */
   record Outcome(
       long seed,
-      String wrong,
+      String violation,
       int entries,
       int leaders,
       int calls,
@@ -107,13 +107,13 @@
       int events,
       long digest) {}
 
-  private record Event(long at, long order, Process of, int life, Runnable what) {}
+  private record Event(long time, long order, Process process, int life, Runnable action) {}
 
   /** Something is wrong; the message says what. */
-  private static final class Wrong extends RuntimeException {
+  private static final class Violation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    Wrong(String message) {
+    Violation(String message) {
       super(message);
     }
   }
@@ -123,17 +123,18 @@
   private final Mutant mutant;
   private final PriorityQueue<Event> queue =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+          (a, b) ->
+              a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.order, b.order));
   private final List<Process> processes = new ArrayList<>();
   private final Map<String, Process> byName = new HashMap<>();
-  private final Map<Long, Long> sums = new HashMap<>();
-  private final TreeMap<Long, Long> truthAt = new TreeMap<>();
-  private Wrong found;
+  private final Map<Long, Long> recordHashes = new HashMap<>();
+  private final TreeMap<Long, Long> committedIndexAt = new TreeMap<>();
+  private Violation pendingViolation;
   private final Map<String, List<Linearizability.Call>> histories = new TreeMap<>();
   private final CRC32C digest = new CRC32C();
-  private FleetRecord truth = new FleetRecord();
+  private FleetRecord newestRecord = new FleetRecord();
   private long now;
-  private long orders;
+  private long scheduledEvents;
   private int events;
   private int leaders;
   private int writes;
@@ -165,7 +166,7 @@
   }
 
   Outcome run() {
-    String wrong = null;
+    String violation = null;
     try {
       for (Process process : processes) {
         at(random.nextInt(500) * MS, null, process::start);
@@ -173,44 +174,54 @@
       for (int client = 0; client < 3; client++) {
         at(SECOND + random.nextInt(1_000) * MS, null, this::client);
       }
-      at(2 * SECOND, null, this::fault);
-      at(FAULTS_FOR, null, this::heal);
-      runUntil(FAULTS_FOR + HEALED_FOR);
-      atTheEnd();
-    } catch (Wrong e) {
-      wrong = e.getMessage();
+      at(2 * SECOND, null, this::injectFault);
+      at(FAULTY_NANOS, null, this::heal);
+      runUntil(FAULTY_NANOS + FAULT_FREE_NANOS);
+      checkFinalState();
+    } catch (Violation e) {
+      violation = e.getMessage();
     }
-    digest.update(Long.toString(truth.index()).getBytes());
+    digest.update(Long.toString(newestRecord.index()).getBytes());
     return new Outcome(
-        seed, wrong, (int) truth.index(), leaders, writes, changes, events, digest.getValue());
+        seed,
+        violation,
+        (int) newestRecord.index(),
+        leaders,
+        writes,
+        changes,
+        events,
+        digest.getValue());
   }
 
-  private void at(long when, Process of, Runnable what) {
-    queue.add(new Event(when, orders++, of, of == null ? 0 : of.life, what));
+  private void at(long time, Process process, Runnable action) {
+    queue.add(
+        new Event(time, scheduledEvents++, process, process == null ? 0 : process.life, action));
   }
 
   private void runUntil(long end) {
-    while (!queue.isEmpty() && queue.peek().at <= end) {
+    while (!queue.isEmpty() && queue.peek().time <= end) {
       Event event = queue.poll();
-      now = event.at;
-      Process of = event.of;
-      if (of != null && (of.life != event.life || of.member == null && !of.starting)) {
+      now = event.time;
+      Process process = event.process;
+      if (process != null
+          && (process.life != event.life || process.member == null && !process.starting)) {
         continue;
       }
-      if (of != null && of.pausedUntil > now) {
-        queue.add(new Event(of.pausedUntil, orders++, of, event.life, event.what));
+      if (process != null && process.pausedUntil > now) {
+        queue.add(
+            new Event(process.pausedUntil, scheduledEvents++, process, event.life, event.action));
         continue;
       }
       events++;
       try {
-        event.what.run();
+        event.action.run();
       } catch (SimDisk.PowerFailure e) {
         // Its process is over; the engine catches what it throws, and we do not.
       } catch (AssertionError | IllegalStateException | NullPointerException e) {
-        throw new Wrong((of == null ? "a client" : of.name) + " threw " + e);
+        throw new Violation((process == null ? "a client" : process.name) + " threw " + e);
       }
-      if (of != null && of.powerLost) {
-        of.crash();
+      if (process != null && process.powerLost) {
+        process.crash();
       }
       check();
     }
@@ -219,77 +230,82 @@
 
   /** Whoever holds by its own clock is there, by the newest of what was agreed. */
   private void check() {
-    if (found != null) {
-      throw found;
+    if (pendingViolation != null) {
+      throw pendingViolation;
     }
     for (Process process : processes) {
       if (process.member != null && process.member.hasValidLease()) {
-        Session session = truth.session(process.name);
+        Session session = newestRecord.session(process.name);
         if (session == null
             || session.incarnation() != process.member.incarnation()
             || session.status() != Status.THERE) {
-          throw new Wrong(process.name + " holds at " + now + " and the record says " + session);
+          throw new Violation(
+              process.name + " holds at " + now + " and the record says " + session);
         }
       }
     }
   }
 
-  private void applied(Process process) {
+  private void checkAppliedRecord(Process process) {
     FleetRecord record = process.member == null ? null : process.member.appliedRecord();
     if (record == null) {
       return;
     }
-    long sum = Arrays.hashCode(record.bytes());
-    Long before = sums.putIfAbsent(record.index(), sum);
-    if (before != null && before != sum) {
-      throw new Wrong(process.name + " has another record up to " + record.index());
+    long hash = Arrays.hashCode(record.bytes());
+    Long before = recordHashes.putIfAbsent(record.index(), hash);
+    if (before != null && before != hash) {
+      throw new Violation(process.name + " has another record up to " + record.index());
     }
-    if (record.index() > truth.index()) {
+    if (record.index() > newestRecord.index()) {
       try {
-        truth = FleetRecord.read(record.bytes());
+        newestRecord = FleetRecord.read(record.bytes());
       } catch (MalformedException e) {
-        throw new Wrong("not readable: " + e.getMessage());
+        throw new Violation("not readable: " + e.getMessage());
       }
-      for (Session session : truth.sessions()) {
-        Process of = byName.get(session.member());
+      for (Session session : newestRecord.sessions()) {
+        Process owner = byName.get(session.member());
         if (session.status() == Status.REFUSED
-            && of.member != null
-            && of.member.incarnation() == session.incarnation()) {
-          throw new Wrong(session + " counts as over, and runs");
+            && owner.member != null
+            && owner.member.incarnation() == session.incarnation()) {
+          throw new Violation(session + " counts as over, and runs");
         }
       }
-      digest.update(Long.toString(sum + now).getBytes());
-      truthAt.put(now, truth.index());
+      digest.update(Long.toString(hash + now).getBytes());
+      committedIndexAt.put(now, newestRecord.index());
     }
   }
 
-  private boolean lacks(long known, long all) {
-    Long next = mutant.parts.entries.higher(known);
-    return next != null && next <= all;
+  private boolean lacksEntry(long knownIndex, long expectedIndex) {
+    Long next = mutant.components.entries.higher(knownIndex);
+    return next != null && next <= expectedIndex;
   }
 
-  private void atTheEnd() {
+  private void checkFinalState() {
     for (Process process : processes) {
       if (process.member == null) {
-        throw new Wrong(process.name + " is down at the end");
+        throw new Violation(process.name + " is down at the end");
       }
       if (!process.member.hasValidLease()) {
-        throw new Wrong(process.name + " does not hold at the end: " + process.lastEvent);
+        throw new Violation(process.name + " does not hold at the end: " + process.lastEvent);
       }
-      long all = truthAt.floorEntry(now - 3 * SECOND).getValue();
-      if (lacks(process.member.view().record().index(), all)) {
-        throw new Wrong(
-            process.name + " knows " + process.member.view().record().index() + " of " + all);
+      long expectedIndex = committedIndexAt.floorEntry(now - 3 * SECOND).getValue();
+      if (lacksEntry(process.member.view().record().index(), expectedIndex)) {
+        throw new Violation(
+            process.name
+                + " knows "
+                + process.member.view().record().index()
+                + " of "
+                + expectedIndex);
       }
     }
     for (Map.Entry<String, List<Linearizability.Call>> history : histories.entrySet()) {
-      String wrong = Linearizability.check(history.getValue());
-      if (wrong != null) {
-        throw new Wrong(history.getKey() + ": " + wrong);
+      String violation = Linearizability.check(history.getValue());
+      if (violation != null) {
+        throw new Violation(history.getKey() + ": " + violation);
       }
-      if (history.getValue().size() < MOST_CALLS
-          && history.getValue().stream().noneMatch(c -> c.from() > FAULTS_FOR && c.to() < now)) {
-        throw new Wrong(history.getKey() + " was not answered after all was healed");
+      if (history.getValue().size() < MAX_CALLS
+          && history.getValue().stream().noneMatch(c -> c.from() > FAULTY_NANOS && c.to() < now)) {
+        throw new Violation(history.getKey() + " was not answered after all was healed");
       }
     }
   }
@@ -299,7 +315,7 @@
   private void client() {
     long again = now + (20 + random.nextInt(400)) * MS;
     List<Process> up = processes.stream().filter(p -> p.member != null).toList();
-    if (now > FAULTS_FOR + HEALED_FOR - 12 * SECOND) {
+    if (now > FAULTY_NANOS + FAULT_FREE_NANOS - 12 * SECOND) {
       return;
     }
     if (up.isEmpty()) {
@@ -310,13 +326,13 @@
     String key = "k" + random.nextInt(KEYS);
     List<Linearizability.Call> history = histories.computeIfAbsent(key, k -> new ArrayList<>());
     long from = now;
-    long patience = 4 * SECOND;
-    if (history.size() >= MOST_CALLS) {
+    long timeout = 4 * SECOND;
+    if (history.size() >= MAX_CALLS) {
       at(again, null, this::client);
     } else if (random.nextBoolean()) {
       process
           .member
-          .read(patience)
+          .read(timeout)
           .whenComplete(
               (record, failure) -> {
                 if (failure == null) {
@@ -329,15 +345,15 @@
                 at(now + random.nextInt(300) * MS, null, this::client);
               });
     } else {
-      write(key, history, process, patience);
+      write(key, history, process, timeout);
     }
   }
 
   private void write(
-      String key, List<Linearizability.Call> history, Process process, long patience) {
+      String key, List<Linearizability.Call> history, Process process, long timeout) {
     long from = now;
     String value = "v" + ++writes;
-    FleetRecord.NoteValue seen = truth.note(key);
+    FleetRecord.NoteValue seen = newestRecord.note(key);
     long expected = random.nextInt(3) > 0 ? -1 : seen == null ? 0 : seen.version();
     Command.Note note = new Command.Note(key, expected, value);
     String origin = "client/" + writes;
@@ -352,7 +368,7 @@
             at(now + random.nextInt(200) * MS, null, this::client);
           }
         };
-    process.member.submit(new Command.Numbered(origin, 1, note), patience).whenComplete(end);
+    process.member.submit(new Command.Numbered(origin, 1, note), timeout).whenComplete(end);
     if (random.nextInt(3) == 0) {
       // Somebody who has lost patience gives the same command to another member.
       at(
@@ -361,13 +377,13 @@
           () -> {
             Process other = processes.get(random.nextInt(processes.size()));
             if (other.member != null) {
-              String name = mutant.numbersAnew ? origin + "/again" : origin;
-              other.member.submit(new Command.Numbered(name, 1, note), patience).whenComplete(end);
+              String name = mutant.repeatsUseNewOrigin ? origin + "/again" : origin;
+              other.member.submit(new Command.Numbered(name, 1, note), timeout).whenComplete(end);
             }
           });
     }
     at(
-        now + patience + 2 * SECOND,
+        now + timeout + 2 * SECOND,
         null,
         () -> {
           if (!done[0]) {
@@ -380,22 +396,22 @@
 
   // Faults.
 
-  private void fault() {
+  private void injectFault() {
     if (healed) {
       return;
     }
-    at(now + (100 + random.nextInt(1_400)) * MS, null, this::fault);
+    at(now + (100 + random.nextInt(1_400)) * MS, null, this::injectFault);
     Process a = processes.get(random.nextInt(processes.size()));
     Process b = processes.get(random.nextInt(processes.size()));
     long until = now + (50 + random.nextInt(4_000)) * MS;
     switch (random.nextInt(17)) {
       case 0, 1 -> {
-        boolean leaves = random.nextInt(3) == 0 && a.member != null && a.pausedUntil <= now;
-        say((leaves ? "leave " : "kill ") + a.name);
-        if (leaves) {
-          int its = a.life;
+        boolean isLeaving = random.nextInt(3) == 0 && a.member != null && a.pausedUntil <= now;
+        log((isLeaving ? "leave " : "kill ") + a.name);
+        if (isLeaving) {
+          int expectedLife = a.life;
           a.member.leave(SECOND);
-          at(now + 200 * MS, null, () -> a.crashIf(its));
+          at(now + 200 * MS, null, () -> a.crashIf(expectedLife));
           a.restartAt(now + SECOND + random.nextInt(5_000) * MS);
           return;
         }
@@ -403,7 +419,7 @@
         a.restartAt(now + random.nextInt(5_000) * MS);
       }
       case 2 -> {
-        say("pause " + a.name + " until " + until / MS);
+        log("pause " + a.name + " until " + until / MS);
         a.pausedUntil = until;
       }
       case 3 -> link(a, b, l -> l.cutUntil = until, "cut", until);
@@ -417,11 +433,11 @@
         isolate(a, until);
       }
       case 8 -> {
-        say("power fails soon at " + a.name);
+        log("power fails soon at " + a.name);
         a.disk.powerFailsIn = random.nextInt(40);
       }
       case 9 -> {
-        say("disk fails soon at " + a.name);
+        log("disk fails soon at " + a.name);
         a.disk.failsIn = random.nextInt(40);
         Process failing = a;
         at(
@@ -433,24 +449,24 @@
               failing.restartAt(now + 10 * MS);
             });
       }
-      case 10 -> leader(until);
-      case 11, 12 -> nearlyATerm(a);
-      case 13 -> doubtfulDisk(a, until);
+      case 10 -> pauseLeader(until);
+      case 11, 12 -> isolateForAboutALease(a);
+      case 13 -> failDiskAndHideOutcome(a, until);
       case 14, 15 -> changeVoters(a);
       default -> loseDisk(a);
     }
   }
 
   /** Aimed: whoever leads stands still past an election and wakes up while it still believes. */
-  private void leader(long until) {
-    Process leader = leads();
+  private void pauseLeader(long until) {
+    Process leader = findLeader();
     if (leader != null) {
-      say("pause leader " + leader.name + " until " + until / MS);
+      log("pause leader " + leader.name + " until " + until / MS);
       leader.pausedUntil = until;
     }
   }
 
-  private Process leads() {
+  private Process findLeader() {
     return processes.stream()
         .filter(p -> p.member != null && p.member.isLeader())
         .findFirst()
@@ -458,7 +474,7 @@
   }
 
   private void isolate(Process process, long until) {
-    say("isolate " + process.name + " until " + until / MS);
+    log("isolate " + process.name + " until " + until / MS);
     for (Process other : processes) {
       process.link(other).cutUntil = until;
       other.link(process).cutUntil = until;
@@ -466,10 +482,10 @@
   }
 
   /** Aimed: cut off until about its term ends, while the leader is slow to hear of the others. */
-  private void nearlyATerm(Process process) {
-    Process leader = leads();
+  private void isolateForAboutALease(Process process) {
+    Process leader = findLeader();
     if (leader != null && leader != process) {
-      long until = now + (long) (TERM * (0.85 + 0.4 * random.nextDouble()));
+      long until = now + (long) (LEASE * (0.85 + 0.4 * random.nextDouble()));
       isolate(process, until);
       for (Process other : processes) {
         leader.link(other).slowUntil = random.nextBoolean() ? until : 0;
@@ -478,12 +494,12 @@
   }
 
   /** Aimed: whoever else could know what a voter's failing disk does not is cut off or stopped. */
-  private void doubtfulDisk(Process process, long until) {
-    Process leader = leads();
+  private void failDiskAndHideOutcome(Process process, long until) {
+    Process leader = findLeader();
     if (leader == null || leader == process || !process.isVoter()) {
       return;
     }
-    say("doubtful disk at " + process.name);
+    log("doubtful disk at " + process.name);
     process.disk.failsIn = random.nextInt(3);
     long crash = now + 1_500 * MS;
     for (Process other : processes) {
@@ -508,11 +524,11 @@
     if (lostDisks > 0 || random.nextBoolean()) {
       return;
     }
-    say("lose disk " + process.name);
+    log("lose disk " + process.name);
     lostDisks++;
     process.crash();
     SimDisk empty = new SimDisk(random.nextLong());
-    if (mutant.lostDiskKeepsItsName) {
+    if (mutant.lostDiskKeepsStoreId) {
       process.disk.copyTo(empty, "member");
       try {
         RecordStore.open(empty).close();
@@ -522,14 +538,14 @@
     }
     process.disk = empty;
     process.restartAt(now + random.nextInt(3_000) * MS);
-    at(now + 4 * SECOND, null, () -> replace(process));
+    at(now + 4 * SECOND, null, () -> restoreVoter(process));
   }
 
   /** An operator vouches for the end of the one before, and makes the new one a voter if it was. */
-  private void replace(Process process) {
+  private void restoreVoter(Process process) {
     List<Process> up = processes.stream().filter(p -> p.member != null).toList();
     boolean back = process.member != null && process.member.hasJoined();
-    Runnable again = () -> at(now + SECOND, null, () -> replace(process));
+    Runnable again = () -> at(now + SECOND, null, () -> restoreVoter(process));
     if (up.isEmpty()) {
       again.run();
       return;
@@ -546,7 +562,7 @@
                 if (failure != null || !answer.succeeded()) {
                   again.run();
                 } else {
-                  say("voter again " + process.name);
+                  log("voter again " + process.name);
                   lostDisks--;
                 }
               });
@@ -558,10 +574,10 @@
     List<Process> up = processes.stream().filter(p -> p.member != null).toList();
     long votes = processes.stream().filter(Process::isVoter).count();
     boolean add = !process.votes;
-    if (up.isEmpty() || lostDisks > 0 || (add ? votes >= MOST_VOTERS : votes <= LEAST_VOTERS)) {
+    if (up.isEmpty() || lostDisks > 0 || (add ? votes >= MAX_VOTERS : votes <= MIN_VOTERS)) {
       return;
     }
-    say((add ? "add voter " : "remove voter ") + process.name);
+    log((add ? "add voter " : "remove voter ") + process.name);
     // Unless it is known to have none, it may have a vote.
     process.votes = true;
     up.get(random.nextInt(up.size()))
@@ -570,22 +586,22 @@
         .whenComplete(
             (answer, failure) -> {
               if (failure == null && answer.succeeded()) {
-                say((add ? "added voter " : "removed voter ") + process.name);
+                log((add ? "added voter " : "removed voter ") + process.name);
                 process.votes = add;
                 changes++;
               }
             });
   }
 
-  private void link(Process a, Process b, Consumer<Link> what, String name, long until) {
+  private void link(Process a, Process b, Consumer<Link> fault, String name, long until) {
     if (a != b) {
-      say(name + " " + a.name + " to " + b.name + " until " + until / MS);
-      what.accept(a.link(b));
+      log(name + " " + a.name + " to " + b.name + " until " + until / MS);
+      fault.accept(a.link(b));
     }
   }
 
   private void heal() {
-    say("heal");
+    log("heal");
     healed = true;
     for (Process process : processes) {
       process.pausedUntil = 0;
@@ -601,11 +617,11 @@
     }
   }
 
-  private void say(String what) {
+  private void log(String line) {
     if (log.length() < 100_000) {
-      log.append(now / MS).append(" ms ").append(what).append('\n');
+      log.append(now / MS).append(" ms ").append(line).append('\n');
     }
-    digest.update(what.getBytes());
+    digest.update(line.getBytes());
   }
 
   private static final class Link {
@@ -629,7 +645,7 @@
     int life;
     long pausedUntil;
     long startIndex;
-    long followed;
+    long subscribedIndex;
     boolean joined;
     boolean votes;
     String lastEvent = "";
@@ -659,8 +675,8 @@
       powerLost = false;
       diskFailed = false;
       joined = false;
-      startIndex = truth.index();
-      followed = 0;
+      startIndex = newestRecord.index();
+      subscribedIndex = 0;
       List<String> names = processes.stream().map(p -> p.name).toList();
       MemberSettings settings =
           new MemberSettings(
@@ -669,49 +685,49 @@
               name,
               names,
               names.subList(0, voters),
-              TERM,
+              LEASE,
               mutant.drift,
               250 * MS,
               25,
               true);
-      int its = life;
+      int expectedLife = life;
       try {
         member =
             new Member(
                 settings,
-                mutant.disk.apply(new Guarded(this, disk)),
+                mutant.disk.apply(new PowerFailureDisk(this, disk)),
                 this,
                 new Random(random.nextLong()),
                 new Transport() {
                   @Override
                   public void send(String to, byte[] packet) {
-                    Process.this.send(its, byName.get(to), packet);
+                    Process.this.send(expectedLife, byName.get(to), packet);
                   }
 
                   @Override
                   public void probe(String to, Runnable refused) {
-                    Process.this.probe(its, byName.get(to), refused);
+                    Process.this.probe(expectedLife, byName.get(to), refused);
                   }
                 },
                 new Member.Listener() {
                   @Override
                   public void event(String line) {
-                    heard(its, line);
+                    onEvent(expectedLife, line);
                   }
 
                   @Override
                   public void changed() {
-                    changedAt(its);
+                    onChanged(expectedLife);
                   }
                 },
-                mutant.parts);
+                mutant.components);
       } catch (IOException | SimDisk.PowerFailure e) {
-        say(name + " cannot start: " + e);
+        log(name + " cannot start: " + e);
         member = null;
         disk.crash();
         restartAt(now + 500 * MS);
       } catch (WrongDataDirectoryException e) {
-        throw new Wrong(e.getMessage());
+        throw new Violation(e.getMessage());
       }
       starting = false;
       if (powerLost) {
@@ -720,34 +736,34 @@
       }
     }
 
-    private void heard(int its, String line) {
-      if (its == life) {
+    private void onEvent(int expectedLife, String line) {
+      if (expectedLife == life) {
         lastEvent = line;
-        say(name + " " + line);
+        log(name + " " + line);
         leaders += line.startsWith("leads") ? 1 : 0;
         diskFailed |= line.startsWith("disk");
       }
     }
 
     /** Within the engine, which would catch what is thrown; it is thrown again behind it. */
-    private void changedAt(int its) {
+    private void onChanged(int expectedLife) {
       try {
-        changedNow(its);
-      } catch (Wrong e) {
-        found = found == null ? e : found;
+        checkAfterChange(expectedLife);
+      } catch (Violation e) {
+        pendingViolation = pendingViolation == null ? e : pendingViolation;
       }
     }
 
-    private void changedNow(int its) {
-      if (its != life || member == null || powerLost) {
+    private void checkAfterChange(int expectedLife) {
+      if (expectedLife != life || member == null || powerLost) {
         return;
       }
-      applied(this);
-      followed();
+      checkAppliedRecord(this);
+      checkSubscribedRecord();
       if (!joined && member.hasJoined()) {
         joined = true;
         if (member.view().record().index() < startIndex) {
-          throw new Wrong(
+          throw new Violation(
               name + " joined with " + member.view().record().index() + " of " + startIndex);
         }
       }
@@ -756,24 +772,25 @@
     /**
      * What it knows is the same as the record was there, never goes back, and is as new as said.
      */
-    private void followed() {
+    private void checkSubscribedRecord() {
       FleetRecord record = member.view().record();
-      if (record.index() < followed) {
-        throw new Wrong(name + " went back from " + followed + " to " + record.index());
-      }
-      if (record.index() > followed) {
-        followed = record.index();
-        Long sum = sums.get(followed);
-        if (sum == null || sum != Arrays.hashCode(record.bytes())) {
-          throw new Wrong(name + " follows another record up to " + followed);
+      if (record.index() < subscribedIndex) {
+        throw new Violation(name + " went back from " + subscribedIndex + " to " + record.index());
+      }
+      if (record.index() > subscribedIndex) {
+        subscribedIndex = record.index();
+        Long hash = recordHashes.get(subscribedIndex);
+        if (hash == null || hash != Arrays.hashCode(record.bytes())) {
+          throw new Violation(name + " follows another record up to " + subscribedIndex);
         }
       }
       OptionalLong at = member.view().currentAsOfNanos();
       if (at.isPresent()) {
         long then = (long) ((at.getAsLong() - offset) / rate);
-        Map.Entry<Long, Long> before = truthAt.lowerEntry(then - 1);
-        if (before != null && lacks(followed, before.getValue())) {
-          throw new Wrong(name + " says it had all at " + then + ", and has " + followed);
+        Map.Entry<Long, Long> before = committedIndexAt.lowerEntry(then - 1);
+        if (before != null && lacksEntry(subscribedIndex, before.getValue())) {
+          throw new Violation(
+              name + " says it had all at " + then + ", and has " + subscribedIndex);
         }
       }
     }
@@ -792,18 +809,18 @@
       }
     }
 
-    void crashIf(int its) {
-      if (its == life) {
+    void crashIf(int expectedLife) {
+      if (expectedLife == life) {
         crash();
       }
     }
 
-    void restartAt(long when) {
-      at(when, null, this::start);
+    void restartAt(long time) {
+      at(time, null, this::start);
     }
 
-    private void send(int its, Process to, byte[] packet) {
-      if (its != life || powerLost) {
+    private void send(int expectedLife, Process to, byte[] packet) {
+      if (expectedLife != life || powerLost) {
         return;
       }
       int toLife = to.life;
@@ -822,15 +839,15 @@
         at(arrival, to, arrives);
       }
       // What is fed may also come twice, out of order or not at all, as over several connections.
-      if (arrival > 0 && !healed && isFed(packet) && random.nextInt(10) == 0) {
+      if (arrival > 0 && !healed && isFeedPacket(packet) && random.nextInt(10) == 0) {
         at(arrival + random.nextInt(700) * MS, to, arrives);
       }
     }
 
-    private boolean isFed(byte[] packet) {
-      String begins =
+    private boolean isFeedPacket(byte[] packet) {
+      String start =
           new String(packet, 0, Math.min(16, packet.length), StandardCharsets.ISO_8859_1);
-      return begins.contains(Feed.ENTRIES) || begins.contains(Feed.PIECE);
+      return start.contains(Feed.ENTRIES) || start.contains(Feed.PIECE);
     }
 
     /** When what is sent now arrives; 0 for never. */
@@ -847,15 +864,15 @@
       return link.lastArrival;
     }
 
-    private void probe(int its, Process to, Runnable refused) {
-      long arrival = its == life ? arrival(link(to)) : 0;
+    private void probe(int expectedLife, Process to, Runnable refused) {
+      long arrival = expectedLife == life ? arrival(link(to)) : 0;
       if (arrival > 0) {
         at(
             arrival,
             null,
             () -> {
               long back = to.member == null ? arrival(to.link(this)) : 0;
-              if (back > 0 && its == life) {
+              if (back > 0 && expectedLife == life) {
                 at(back, this, refused);
               }
             });
@@ -868,22 +885,22 @@
     }
 
     @Override
-    public void execute(Runnable what) {
-      at(now, this, what);
+    public void execute(Runnable action) {
+      at(now, this, action);
     }
 
     @Override
-    public void after(long nanos, Runnable what) {
-      at(now + (long) (Math.max(0, nanos) / rate), this, what);
+    public void after(long nanos, Runnable action) {
+      at(now + (long) (Math.max(0, nanos) / rate), this, action);
     }
   }
 
   /** When the power fails within a call, the process is over, whatever the engine catches. */
-  private static final class Guarded implements Disk {
+  private static final class PowerFailureDisk implements Disk {
     private final Process process;
     private final Disk disk;
 
-    Guarded(Process process, Disk disk) {
+    PowerFailureDisk(Process process, Disk disk) {
       this.process = process;
       this.disk = disk;
     }
--- a/src/test/java/hazelspoke/agreement/member/FleetSimulationTest.java
+++ b/src/test/java/hazelspoke/agreement/member/FleetSimulationTest.java
@@ -17,21 +17,22 @@
  * -Dfleet.first} others; {@code -Dfleet.mutants=300} says which of so many seeds find each mutant.
  */
 class FleetSimulationTest {
-  private static Outcome play(long seed, int members, Mutant mutant) {
+  private static Outcome run(long seed, int members, Mutant mutant) {
     return FleetSimulation.run(seed, members, 3 + 2 * (int) (seed & 1), mutant);
   }
 
   @Test
-  void whatMustHoldHoldsUnderDrawnFaults() {
+  void keepsInvariantsUnderRandomFaults() {
     long seeds = Long.getLong("fleet.seeds", 150);
     long first = Long.getLong("fleet.first", 0);
     int members = Integer.getInteger("fleet.members", 5);
     List<Outcome> outcomes =
         LongStream.range(first, first + seeds)
             .parallel()
-            .mapToObj(seed -> play(seed, members, new Mutant()))
+            .mapToObj(seed -> run(seed, members, new Mutant()))
             .toList();
-    assertThat(outcomes).allSatisfy(o -> assertThat(o.wrong()).as("seed %d", o.seed()).isNull());
+    assertThat(outcomes)
+        .allSatisfy(o -> assertThat(o.violation()).as("seed %d", o.seed()).isNull());
     // A play in which nothing is agreed on, or nobody ever loses the lead, shows nothing.
     assertThat(outcomes.stream().mapToLong(Outcome::entries).sum()).isGreaterThan(20 * seeds);
     assertThat(outcomes.stream().mapToLong(Outcome::leaders).sum()).isGreaterThan(2 * seeds);
@@ -39,36 +40,36 @@
   }
 
   @Test
-  void aSeedGivesTheSameTwice() {
+  void givesTheSameOutcomeForTheSameSeed() {
     for (long seed = 0; seed < 5; seed++) {
-      Outcome once = play(seed, 5, new Mutant());
-      assertThat(play(seed, 5, new Mutant())).isEqualTo(once);
+      Outcome once = run(seed, 5, new Mutant());
+      assertThat(run(seed, 5, new Mutant())).isEqualTo(once);
     }
   }
 
   /** A fleet of a hundred that all start within half a second, and lose what faults take. */
   @Test
-  void aHundredMembersAreWellInTheEnd() {
-    assertThat(play(1, 100, new Mutant()).wrong()).isNull();
+  void hundredMembersRecoverFromFaults() {
+    assertThat(run(1, 100, new Mutant()).violation()).isNull();
   }
 
   @ParameterizedTest
   @EnumSource(Mutants.class)
-  void aFleetThatLacksAGuardIsFoundWithin600Seeds(Mutants mutant) {
-    long counted = Long.getLong("fleet.mutants", 0);
-    if (counted > 0) {
-      long[] found =
-          LongStream.range(0, counted).parallel().filter(s -> finds(mutant, s)).toArray();
-      System.out.println(mutant + ": " + found.length + ", " + Arrays.toString(found));
+  void findsEachMutantWithin600Seeds(Mutants mutant) {
+    long countedSeeds = Long.getLong("fleet.mutants", 0);
+    if (countedSeeds > 0) {
+      long[] foundBy =
+          LongStream.range(0, countedSeeds).parallel().filter(s -> finds(mutant, s)).toArray();
+      System.out.println(mutant + ": " + foundBy.length + ", " + Arrays.toString(foundBy));
     }
     assertThat(
-            LongStream.range(mutant.first(), mutant.first() + mutant.seeds())
+            LongStream.range(mutant.firstSeed(), mutant.firstSeed() + mutant.seedCount())
                 .parallel()
                 .anyMatch(s -> finds(mutant, s)))
         .isTrue();
   }
 
   private static boolean finds(Mutants mutant, long seed) {
-    return play(seed, 5, mutant.make()).wrong() != null;
+    return run(seed, 5, mutant.make()).violation() != null;
   }
 }
