--- a/src/test/java/hazelspoke/agreement/member/Mutants.java
+++ b/src/test/java/hazelspoke/agreement/member/Mutants.java
@@ -11,15 +11,15 @@
 
 /** Fleets that lack one guard each. */
 enum Mutants {
-  SAYS_SYNCED_AND_IS_NOT {
+  REPORTS_SYNC_WITHOUT_SYNCING {
     @Override
     Mutant make() {
       Mutant mutant = new Mutant();
-      mutant.disk = Unsynced::new;
+      mutant.disk = UnsyncedDisk::new;
       return mutant;
     }
   },
-  ALLOWS_FOR_NO_DRIFT {
+  IGNORES_CLOCK_DRIFT {
     @Override
     Mutant make() {
       Mutant mutant = new Mutant();
@@ -27,26 +27,26 @@
       return mutant;
     }
   },
-  A_LOST_FOLDER_KEEPS_ITS_NAME {
+  LOST_STORE_KEEPS_ITS_ID {
     @Override
     Mutant make() {
       Mutant mutant = new Mutant();
-      mutant.lostDiskKeepsItsName = true;
+      mutant.lostDiskKeepsStoreId = true;
       return mutant;
     }
   },
-  A_REPEAT_IS_NUMBERED_ANEW {
+  REPEATED_COMMAND_GETS_A_NEW_ORIGIN {
     @Override
     Mutant make() {
       Mutant mutant = new Mutant();
-      mutant.numbersAnew = true;
+      mutant.repeatsUseNewOrigin = true;
       return mutant;
     }
   },
-  A_LEADER_ANSWERS_UNCONFIRMED {
+  LEADER_REPLIES_UNCONFIRMED {
     @Override
     Mutant make() {
-      return engine(
+      return withEngine(
           setup ->
               new Engine(setup) {
                 @Override
@@ -56,20 +56,20 @@
               });
     }
   },
-  A_LEADER_ANSWERS_BEFORE_IT_HAS_APPLIED {
+  LEADER_REPLIES_BEFORE_APPLYING {
     @Override
-    long first() {
+    long firstSeed() {
       return 1_600;
     }
 
     @Override
-    long seeds() {
+    long seedCount() {
       return 400;
     }
 
     @Override
     Mutant make() {
-      return engine(
+      return withEngine(
           setup ->
               new Engine(setup) {
                 @Override
@@ -79,10 +79,10 @@
               });
     }
   },
-  A_VOTER_WHOSE_DISK_FAILED_GOES_ON {
+  VOTER_CONTINUES_AFTER_DISK_FAILURE {
     @Override
     Mutant make() {
-      return engine(
+      return withEngine(
           setup ->
               new Engine(setup) {
                 @Override
@@ -92,24 +92,24 @@
               });
     }
   },
-  WHO_LEADS_ENDS_ITS_OWN_VOTE_AND_ASKS_FOR_OTHERS {
+  REMOVED_LEADER_REQUESTS_VOTES {
     @Override
-    long first() {
+    long firstSeed() {
       return 4_300;
     }
 
     @Override
-    long seeds() {
+    long seedCount() {
       return 40;
     }
 
     @Override
     Mutant make() {
       Mutant mutant = new Mutant();
-      mutant.parts =
+      mutant.components =
           new FleetSimulation.SmallFeeds() {
             @Override
-            boolean handsOverBeforeItsRemoval() {
+            boolean transfersLeadershipBeforeOwnRemoval() {
               return false;
             }
 
@@ -126,10 +126,10 @@
       return mutant;
     }
   },
-  TAKES_ITS_OWN_QUESTION_FOR_A_LATER_TERM {
+  ADOPTS_TERM_OF_ITS_OWN_PRE_VOTE {
     @Override
     Mutant make() {
-      return engine(
+      return withEngine(
           setup ->
               new Engine(setup) {
                 @Override
@@ -139,42 +139,42 @@
               });
     }
   },
-  NEVER_STARTS_A_STUCK_ENGINE_ANEW {
+  NEVER_RESTARTS_STUCK_ENGINE {
     @Override
     Mutant make() {
       Mutant mutant = new Mutant();
-      mutant.parts =
+      mutant.components =
           new FleetSimulation.SmallFeeds() {
             @Override
-            int stuckHeartbeats() {
+            int heartbeatsBeforeRestart() {
               return 1_000;
             }
           };
       return mutant;
     }
   },
-  REMOVES_VOTERS_DOWN_TO_ONE {
+  REMOVES_ALL_VOTERS_BUT_ONE {
     @Override
     Mutant make() {
       Mutant mutant = new Mutant();
-      mutant.parts =
+      mutant.components =
           new FleetSimulation.SmallFeeds() {
             @Override
-            int leastVoters() {
+            int minVoters() {
               return 1;
             }
           };
       return mutant;
     }
   },
-  RENEWS_WHILE_A_LAPSE_IS_UNDER_WAY {
+  RENEWS_DURING_PENDING_LAPSE {
     @Override
     Mutant make() {
       Mutant mutant = new Mutant();
-      mutant.parts =
+      mutant.components =
           new FleetSimulation.SmallFeeds() {
             @Override
-            SessionLeases terms(MemberSettings settings, long tickNanos) {
+            SessionLeases leases(MemberSettings settings, long tickNanos) {
               return new SessionLeases(settings.leaseNanos(), settings.drift(), tickNanos) {
                 @Override
                 boolean isLapsing(Session session) {
@@ -186,15 +186,15 @@
       return mutant;
     }
   },
-  A_HOLDER_COUNTS_FROM_THE_ANSWER {
+  LEASE_COUNTS_FROM_THE_REPLY {
     @Override
     Mutant make() {
       Mutant mutant = new Mutant();
-      mutant.parts =
+      mutant.components =
           new FleetSimulation.SmallFeeds() {
             @Override
-            long heldUntil(MemberSettings settings, long askedAt, long now) {
-              return super.heldUntil(settings, now, now);
+            long leaseExpiresAt(MemberSettings settings, long requestedNanos, long grantedNanos) {
+              return super.leaseExpiresAt(settings, grantedNanos, grantedNanos);
             }
           };
       return mutant;
@@ -209,20 +209,20 @@
    * Where the search begins. Whoever is found once in a thousand seeds is looked for near one that
    * finds it: the engine of a fleet that lacks a guard may spin for ever, at other seeds.
    */
-  long first() {
+  long firstSeed() {
     return 0;
   }
 
   /** Of so many seeds one has to find it. */
-  long seeds() {
+  long seedCount() {
     return 600;
   }
 
   abstract Mutant make();
 
-  private static Mutant engine(EngineMaker maker) {
+  private static Mutant withEngine(EngineMaker maker) {
     Mutant mutant = new Mutant();
-    mutant.parts =
+    mutant.components =
         new FleetSimulation.SmallFeeds() {
           @Override
           Engine engine(Engine.Setup setup) throws MalformedException {
@@ -233,7 +233,7 @@
   }
 
   /** A disk whose syncs return at once. */
-  private record Unsynced(Disk disk) implements Disk {
+  private record UnsyncedDisk(Disk disk) implements Disk {
     @Override
     public Set<String> list() throws IOException {
       return disk.list();
--- a/src/test/java/hazelspoke/agreement/record/FleetRecordTest.java
+++ b/src/test/java/hazelspoke/agreement/record/FleetRecordTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void aNameBelongsToOneProcessUntilThatIsCertainToBeOver() {
+  void reservesNameUntilItsProcessHasCertainlyEnded() {
     CommandResult first = apply(new Join("g1", "home1", 11, "a:1"));
     assertThat(first).isEqualTo(new CommandResult(true, 1, ""));
     assertThat(apply(new Join("g1", "home1", 11, "a:1")))
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void whatConcernsAnEarlierIncarnationChangesNothing() {
+  void ignoresCommandsForAnEarlierIncarnation() {
     apply(new Join("g1", "home1", 11, "a:1"));
     apply(new Join("g1", "home1", 12, "a:1"));
     assertThat(apply(new Lapse("g1", 1)).succeeded()).isFalse();
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void onlyTheSilentAreBackRefusedOrVouchedFor() {
+  void acceptsBackRefusedAndVouchOnlyForExpiredLeases() {
     apply(new Join("g1", "home1", 11, "a:1"));
     assertThat(apply(new Vouch("g1")).reason()).contains("renews in time");
     assertThat(apply(new Refused("g1", 1)).succeeded()).isFalse();
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void aRepeatIsAnsweredAsTheFirstTimeAlsoOverASnapshot() throws Exception {
+  void answersRepeatedCommandAsBeforeAlsoAfterSnapshot() throws Exception {
     CommandResult first = apply("op", 1, new Note("k", 0, "v"));
     FleetRecord restored = FleetRecord.read(record.bytes());
     assertThat(restored.apply(9, new Numbered("op", 1, new Note("k", 0, "v")))).isEqualTo(first);
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void whatIsKeptIsBoundedAndTheSameEverywhere() throws Exception {
+  void limitsItsSizeAndEncodesDeterministically() throws Exception {
     for (int i = 0; i < FleetRecord.MAX_ORIGINS + 50; i++) {
       apply(new Note("k" + i, -1, "v"));
       apply(new Join("m" + i, "h", i, "a:1"));
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void everyCommandReadsAsItWasWritten() throws Exception {
+  void decodesEveryCommandAsItWasEncoded() throws Exception {
     for (Command command :
         List.of(
             new Join("g1", "h", -5, "a:1"),
--- a/src/test/java/ternscale/policy/DeparturesTest.java
+++ b/src/test/java/ternscale/policy/DeparturesTest.java
@@ -280,8 +280,7 @@
   void discoveryIsAskedOnceAndBacksOffWhenItFails() {
     Gateway g =
         new Gateway(
-            Gateway.settings(
-                Discovery.ON_REQUEST, Gateway.type(Effect.REPEATABLE, DedupScope.ALL)),
+            Gateway.settings(Discovery.ON_REQUEST, Gateway.type(Effect.REPEATABLE, DedupScope.ALL)),
             5);
     g.hosts(2);
     assertThat(g.log).contains("timer 1").doesNotContain("watch true");
