--- a/src/main/java/hazelspoke/agreement/feed/Feed.java
+++ b/src/main/java/hazelspoke/agreement/feed/Feed.java
@@ -16,23 +16,23 @@
 import java.util.function.Supplier;
 
 /**
- * A voter's part: pushes each entry that it has applied, and so is agreed on, to all that follow
- * it. Entries are encoded once for all that stand at the same place. Who is further behind than the
- * entries that are kept gets a snapshot, encoded once for many, in pieces, of which all together
- * get no more than a stated rate. Nothing is kept for a slow follower but its place: what its
- * connection drops it notices, and asks for.
+ * The voter's side of the replication feed. It sends each applied, and therefore committed, entry
+ * to all subscribers. Entries are encoded once for all subscribers at the same index. A subscriber
+ * that needs older entries than are kept gets a snapshot, which is encoded once for many, in
+ * pieces; the rate of all pieces together is limited. Only the index is stored for a slow
+ * subscriber: it detects what its connection dropped and requests it again.
  */
 public class Feed {
-  /** Entries that follow one another. */
+  /** The kind of a packet with consecutive entries. */
   public static final String ENTRIES = "entries";
 
-  /** A piece of a snapshot; one without bytes says that its turn has not come. */
+  /** The kind of a packet with a piece of a snapshot; an empty piece says that it is queued. */
   public static final String PIECE = "piece";
 
-  /** More than this many do not follow one voter. */
+  /** The maximum number of subscribers of one voter. */
   private static final int MAX_SUBSCRIBERS = 2_000;
 
-  /** Who has said nothing for so many times the usual has gone. */
+  /** A subscription expires after this many follow intervals without a packet. */
   private static final int EXPIRY_PERIODS = 4;
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -47,10 +47,10 @@
     private Consumer<byte[]> reply;
     private long lastFollowNanos;
 
-    /** It has all up to here, once what is under way to it has come. */
+    /** The subscriber has all entries up to this index once the packets in flight have arrived. */
     private long sentIndex;
 
-    /** What it is given piece by piece, or null. */
+    /** The snapshot that is being sent in pieces, or null. */
     private Snapshot snapshot;
 
     private int offset;
@@ -63,17 +63,17 @@
   private final Deque<KeptEntry> kept = new ArrayDeque<>();
   private final Map<String, Subscription> subscriptions = new LinkedHashMap<>();
 
-  /** Those that are owed pieces, each once, in the order of their turns. */
+  /** Subscriptions with pending pieces, each once, in round-robin order. */
   private final Deque<Subscription> snapshotQueue = new ArrayDeque<>();
 
   private int keptBytes;
 
-  /** All that came later than this is kept. */
+  /** All entries after this index are kept. */
   private long lastDroppedIndex;
 
   private long lastIndex;
 
-  /** The newest that was written, and the one before, which some may still be given. */
+  /** The newest snapshot, and the one before it, which may still be in transfer. */
   private Snapshot snapshot;
 
   private Snapshot previousSnapshot;
@@ -82,10 +82,10 @@
   private long budgetUpdatedNanos;
 
   /**
-   * One that nobody follows.
+   * Creates a feed without subscribers.
    *
-   * @param record as it was applied here up to now; never an older one's than what was pushed but
-   *     while the engine catches up with itself after a restart
+   * @param record the applied record; older than the entries that were sent only while the engine
+   *     catches up after a restart
    */
   public Feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
     this.turns = turns;
@@ -94,7 +94,7 @@
     budgetUpdatedNanos = turns.nanos();
   }
 
-  /** An entry was applied here; those that come again after a restart of the engine are known. */
+  /** Sends an applied entry; entries that are applied again after an engine restart are ignored. */
   public void applied(long index, byte[] entry) {
     if (index <= lastIndex) {
       return;
@@ -110,7 +110,7 @@
     flushSoon();
   }
 
-  /** A snapshot took the place of what was here: what lies between is not known. */
+  /** A snapshot replaced the record: the entries before it are not available here. */
   public void installed(long index) {
     if (index <= lastIndex) {
       return;
@@ -123,9 +123,9 @@
   }
 
   /**
-   * Somebody follows, or still does.
+   * Adds or renews a subscription.
    *
-   * @param back the way to it
+   * @param reply sends a packet to the subscriber
    */
   public void follow(String from, Fields in, Consumer<byte[]> reply) throws MalformedException {
     long subscriberIndex = in.number("have");
@@ -195,7 +195,7 @@
     return true;
   }
 
-  /** Sends what is kept from a place on; what does not fit into one packet follows. */
+  /** Sends the kept entries that the subscriber lacks; a later flush sends what does not fit. */
   private void sendEntries(Subscription subscription, Map<Long, Batch> shared) {
     Batch batch = shared.computeIfAbsent(subscription.sentIndex, this::batchAfter);
     subscription.sentIndex = batch.lastIndexInBatch;
@@ -268,9 +268,10 @@
   }
 
   /**
-   * The snapshot for whoever needs one now; null while the engine is behind what is kept. One
-   * serves until half of what is kept has come after it, so that many that begin at once share it;
-   * those that are still given the one before go on, and none that is older is held.
+   * Returns the snapshot for a subscriber that needs one; null while the engine is behind the kept
+   * entries. A snapshot is used until half of the maximum number of kept entries were applied after
+   * it, so that subscribers that start together share it. Transfers of the previous snapshot go on;
+   * no older one is held.
    */
   private Snapshot snapshotToSend() {
     boolean isUsable =
@@ -295,7 +296,7 @@
     return snapshot;
   }
 
-  /** Sends pieces in turn, as many as were earned since. */
+  /** Sends pieces round-robin, within the byte budget that has accrued since the last call. */
   private void sendPending(long now) {
     double elapsedSeconds = Math.max(0, now - budgetUpdatedNanos) / NANOS_PER_SECOND;
     budgetUpdatedNanos = now;
@@ -330,12 +331,12 @@
     }
   }
 
-  /** Whether a piece may be sent that costs more than what is left; what is earned pays it off. */
+  /** Whether a piece may be sent; it may overdraw the budget, which later accrual repays. */
   protected boolean maySend(double budgetBytes) {
     return budgetBytes > 0;
   }
 
-  /** What is sent to many is never changed afterwards. */
+  /** Returns the packet to send; it is shared between subscribers and must not be modified. */
   protected byte[] encoded(byte[] packet) {
     return packet;
   }
--- a/src/main/java/hazelspoke/agreement/feed/FeedSettings.java
+++ b/src/main/java/hazelspoke/agreement/feed/FeedSettings.java
@@ -1,15 +1,18 @@
 package hazelspoke.agreement.feed;
 
 /**
- * How fast and how much.
+ * Intervals and limits of the replication feed.
  *
- * @param flushNanos entries that come within this time are pushed together, in ns
- * @param followNanos a follower says so often that it follows, and leaves a voter that it has not
- *     heard since the last time, in ns
- * @param pieceBytes the longest part of a snapshot, or of entries, in one packet
- * @param bytesASecond of snapshots that one voter sends, to all that want one together
- * @param keptEntries so many are kept for followers that are behind; beyond that a snapshot is due
- * @param keptBytes of these, at most
+ * @param flushNanos how long a voter collects entries before it sends them together
+ * @param followNanos the interval at which a subscriber renews its subscription; it switches to
+ *     another voter if its source has sent nothing since the last renewal
+ * @param pieceBytes the maximum size of a snapshot piece in one packet; a packet of entries takes
+ *     no further entry once it has this size
+ * @param snapshotBytesPerSecond the rate at which one voter sends snapshots to all subscribers
+ *     together
+ * @param maxKeptEntries how many entries a voter keeps for subscribers that are behind; a
+ *     subscriber that needs older entries gets a snapshot
+ * @param maxKeptBytes the maximum size of these entries
  */
 public record FeedSettings(
     long flushNanos,
@@ -18,7 +21,7 @@
     long snapshotBytesPerSecond,
     int maxKeptEntries,
     int maxKeptBytes) {
-  /** Four signs of life of a leader, and a tenth of one. */
+  /** Renews every four heartbeats of the leader and flushes every tenth of a heartbeat. */
   public static FeedSettings defaults(long heartbeatNanos) {
     return new FeedSettings(
         heartbeatNanos / 10, 4 * heartbeatNanos, 32 << 10, 4 << 20, 4_096, 1 << 20);
--- a/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
+++ b/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
@@ -16,33 +16,33 @@
 import java.util.function.Supplier;
 
 /**
- * A member's copy of the record, which one of the voters keeps up. It takes an entry only if it has
- * all before it, and so is at each index the same as the record was there; it never goes back. A
- * voter that is silent, whose vote has ended, or that is behind what a leader has said, is left for
- * another.
+ * A member's copy of the record, which one of the voters, its source, keeps up to date. An entry is
+ * applied only if all entries before it were, so at each index the copy equals the record, and it
+ * never goes back. The subscriber switches to another source if the voter is unresponsive, has lost
+ * its vote, or is behind the index that a leader has reported.
  *
- * <p>Whose turn it is as a leader need not be known: a voter pushes only what it has applied, which
- * is agreed on, and so is the same from whomever it comes.
+ * <p>The source need not be the leader: a voter sends only entries that it has applied, which are
+ * committed and therefore the same at every voter.
  */
 public class FeedSubscriber {
-  /** The packet by which a member follows a voter. */
+  /** The kind of the packet by which a member subscribes to a voter. */
   public static final String FOLLOW = "follow";
 
-  /** The longest snapshot that is taken. */
+  /** The maximum size of a snapshot that is accepted. */
   private static final int MAX_SNAPSHOT_BYTES = 8 << 20;
 
-  /** So many words of leaders wait to be true here. */
+  /** How many reports of leaders wait until the record reaches their index. */
   private static final int MAX_PENDING_REPORTS = 16;
 
-  /** What its owner gives it, and is told. */
+  /** What the subscriber needs from its owner. */
   public interface Owner {
-    /** Sends a packet to a voter, or drops it. */
+    /** Sends a packet to a voter; it may be lost. */
     void send(String voter, byte[] packet);
 
-    /** The record is known further than before. */
+    /** The record has advanced. */
     void changed();
 
-    /** A line for operators. */
+    /** Logs a line for operators. */
     void event(String line);
   }
 
@@ -60,13 +60,13 @@
   private long lastHeardNanos;
   private long lastFollowNanos;
 
-  /** So many in a row were silent. */
+  /** How many sources in a row were unresponsive. */
   private int unresponsiveSources;
 
-  /** Who said last how far the record was, or null. */
+  /** The leader that last reported an index, or null. */
   private String leader;
 
-  /** Whether the source has brought it on, or said that its turn will come, since it last asked. */
+  /** Whether, since the last request, the source has sent news or announced that it will. */
   private boolean isServed;
 
   private boolean isResendRequested;
@@ -77,9 +77,9 @@
   private boolean stopped;
 
   /**
-   * One that knows nothing and follows nobody yet.
+   * Creates a subscriber with an empty record and no source.
    *
-   * @param voters whose votes count, as far as is known
+   * @param voters returns the names of the voters that are known
    */
   public FeedSubscriber(
       String self,
@@ -96,7 +96,7 @@
     this.owner = owner;
   }
 
-  /** Begins, and goes on by itself. */
+  /** Subscribes to a voter and keeps the subscription until {@link #stop}. */
   public void start() {
     switchTo(voters.get().contains(self) ? self : null);
     scheduleTick();
@@ -106,20 +106,22 @@
     stopped = true;
   }
 
-  /** The record as it is known here; it changes as entries come. */
+  /** Returns the local copy of the record; it changes as entries arrive. */
   public FleetRecord record() {
     return record;
   }
 
-  /** The record was no further than is known here at this time, in ns; empty before the first. */
+  /**
+   * Returns the latest time at which the local copy was certainly complete; empty if there is none.
+   */
   public OptionalLong currentAsOfNanos() {
     return currentAsOfNanos;
   }
 
   /**
-   * A leader has said how far the record was.
+   * A leader has reported the index of the record.
    *
-   * @param askedAt when it was asked, since when that holds
+   * @param requestedNanos when the report was requested; the record had no higher index then
    */
   public void leaderReported(String leader, long index, long requestedNanos) {
     this.leader = leader;
@@ -145,7 +147,8 @@
     boolean unresponsive = lastHeardNanos - lastFollowNanos < 0;
     LeaderReport oldest = pendingReports.peek();
     if (source == null || unresponsive || !voters.get().contains(source)) {
-      // First to any, so that those of one that died spread; then to whom it has heard of late.
+      // The first switch is random, so that the subscribers of a failed voter spread; after another
+      // failure it goes to the leader that was heard last.
       switchTo(unresponsive && unresponsiveSources++ > 0 && !source.equals(leader) ? leader : null);
     } else if (oldest != null && !isServed && isBehind(now - oldest.receivedNanos)) {
       owner.event("behind source=" + source + " known=" + record.index() + " of=" + oldest.index);
@@ -156,12 +159,12 @@
     scheduleTick();
   }
 
-  /** Whether what a leader said so long ago should have come by now. */
+  /** Whether an index that a leader reported this long ago should have arrived by now. */
   protected boolean isBehind(long overdueNanos) {
     return overdueNanos > settings.followNanos();
   }
 
-  /** Goes over to this voter, or to any other. */
+  /** Switches to this voter, or to a random other one if it is null. */
   private void switchTo(String to) {
     List<String> others = new ArrayList<>(voters.get());
     if (others.size() > 1) {
@@ -178,7 +181,7 @@
       return;
     }
     lastFollowNanos = turns.nanos();
-    // So that what is heard within this turn counts as later.
+    // Packets that arrive at the same clock reading count as received after the request.
     lastHeardNanos = lastFollowNanos - 1;
     isServed = false;
     isResendRequested = false;
@@ -191,7 +194,7 @@
     owner.send(source, Cbor.write(out));
   }
 
-  /** Entries have come. */
+  /** Applies entries from the source. */
   public void receiveEntries(String from, Fields in) throws MalformedException {
     if (stopped || !from.equals(source)) {
       return;
@@ -214,7 +217,7 @@
     }
   }
 
-  /** Something was lost on the way: asked for once, as more of what follows may come. */
+  /** Requests lost packets again, once, as more packets behind the gap may arrive. */
   private void requestResend() {
     if (!isResendRequested) {
       sendFollow(true);
@@ -227,12 +230,12 @@
     unresponsiveSources = 0;
   }
 
-  /** Whether it has all up to there, so that what follows may be taken. */
+  /** Whether all entries up to this index are applied, so that the following ones may be. */
   protected boolean hasAllUpTo(long previous) {
     return previous <= record.index();
   }
 
-  /** A piece of a snapshot has come, or word that one will. */
+  /** Stores a piece of a snapshot, or notes that one is queued at the source. */
   public void receivePiece(String from, Fields in) throws MalformedException {
     if (stopped || !from.equals(source)) {
       return;
--- a/src/main/java/hazelspoke/agreement/feed/package-info.java
+++ b/src/main/java/hazelspoke/agreement/feed/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How members that do not vote have the record: voters push them each entry once it is agreed on
- * and applied. Both sides are pure; what they send may be lost, doubled, late or out of order.
+ * Replication of the record to members without a vote: voters send them each entry once it is
+ * committed and applied. Neither side does I/O; packets may be lost, duplicated, delayed or
+ * reordered.
  */
 package hazelspoke.agreement.feed;
--- a/src/main/java/hazelspoke/agreement/member/Bootstrap.java
+++ b/src/main/java/hazelspoke/agreement/member/Bootstrap.java
@@ -7,10 +7,11 @@
 import java.util.Map;
 
 /**
- * How a record begins, once: the first voter of the list waits until it has heard of the folder of
- * each, all of them new, and writes down whose votes count at the beginning. The others take that
- * over from anybody who has it. Who finds a record founded with another folder under its name does
- * not vote; it waits to be made a voter, as its first folder may have voted.
+ * Creates the record, once. The first voter of the list waits until it knows the store id of every
+ * voter, all of them with new stores, and writes down the initial voters, the founders. The others
+ * take the founders over from any voter that has them. A voter that finds another store id under
+ * its name among the founders does not vote, as its earlier store may have voted; it waits until it
+ * is made a voter.
  */
 final class Bootstrap {
   private final List<String> voters;
@@ -24,9 +25,9 @@
   }
 
   /**
-   * Hears of a voter whose folder knows of no record.
+   * Registers a voter whose store has no record.
    *
-   * @return the founders, if they are to be written down now; else empty
+   * @return the founders if they are complete and this member writes them down; else empty
    */
   List<VoterId> learnNewVoter(String member, String storeId) {
     storeIds.put(member, storeId);
@@ -40,7 +41,7 @@
     return founders;
   }
 
-  /** Whom the first voter has not heard of; for the others the first voter. */
+  /** Returns the voters that the first voter still waits for; for others, the first voter. */
   List<String> missing() {
     if (!voters.get(0).equals(self.member())) {
       return voters.subList(0, 1);
--- a/src/main/java/hazelspoke/agreement/member/Components.java
+++ b/src/main/java/hazelspoke/agreement/member/Components.java
@@ -11,33 +11,36 @@
 import java.util.Random;
 import java.util.function.Supplier;
 
-/** What a member is put together from; a proof puts in parts that lack a guard. */
+/** Creates the components of a member; tests replace them with ones that lack a safeguard. */
 class Components {
   SessionLeases leases(MemberSettings settings, long tickNanos) {
     return new SessionLeases(settings.leaseNanos(), settings.drift(), tickNanos);
   }
 
   /**
-   * When a holder's own count of its term ends.
+   * Returns when the lease expires by the clock of the member that holds it.
    *
-   * @param askedAt when the renewal was asked for that was granted
-   * @param now when it heard of that
+   * @param requestedNanos when the member requested the renewal
+   * @param grantedNanos when the member learned that the renewal was granted
    */
   long leaseExpiresAt(MemberSettings settings, long requestedNanos, long grantedNanos) {
     return requestedNanos + (long) (settings.leaseNanos() * (1 - settings.drift()));
   }
 
-  /** An election takes some five heartbeats; after so many without a leader something is stuck. */
+  /**
+   * Returns after how many heartbeats without a leader the engine is restarted. An election takes
+   * about five.
+   */
   int heartbeatsBeforeRestart() {
     return 16;
   }
 
-  /** Of fewer voters the first loss of a disk is the loss of the record. */
+  /** Returns the minimum number of voters; with fewer, losing one disk loses the record. */
   int minVoters() {
     return 3;
   }
 
-  /** One that has agreed on its own removal alone could stand in the way of all others. */
+  /** A leader that alone had committed its own removal could block all other voters. */
   boolean transfersLeadershipBeforeOwnRemoval() {
     return true;
   }
--- a/src/main/java/hazelspoke/agreement/member/FleetView.java
+++ b/src/main/java/hazelspoke/agreement/member/FleetView.java
@@ -5,14 +5,14 @@
 import java.util.OptionalLong;
 
 /**
- * What a member knows of its fleet.
+ * A member's view of its fleet.
  *
- * @param record as far as it is known; never null, to be read within the same turn, as entries that
- *     come change it
- * @param currentAsOfNanos the record went no further then, on its own monotonic clock, in ns; empty
- *     while that is not known of any time
- * @param leader empty if it knows of none
- * @param voters the names of those whose votes count
+ * @param record the local copy of the record; never null; to be read within the same event-loop
+ *     iteration, as later entries change it
+ * @param currentAsOfNanos the latest time, on the member's monotonic clock, at which the record was
+ *     certainly complete; empty if there is none
+ * @param leader the name of the leader; empty if it is unknown
+ * @param voters the names of the voters
  */
 public record FleetView(
     FleetRecord record, OptionalLong currentAsOfNanos, String leader, List<String> voters) {}
--- a/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
+++ b/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
@@ -14,28 +14,28 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The way in from any member to whoever leads. A call goes to the leader that was last heard of,
- * else to a voter by chance; who is asked and does not lead names whom it takes for the leader. A
- * call whose answer does not come is made again, elsewhere, until it is given up.
+ * Calls from this member to the leader. A call goes to the last known leader, else to a random
+ * voter; a member that is not the leader replies with the name of the leader that it knows. A call
+ * without a reply is repeated, elsewhere, until its deadline.
  */
 final class LeaderCalls {
-  /** So many calls may be under way; further ones fail at once. */
+  /** The maximum number of open calls; further calls fail at once. */
   static final int MAX_OPEN_CALLS = 256;
 
-  /** Where nobody is known to lead, each so many attempts go to any member, voter or not. */
+  /** While no leader is known, one attempt in this many goes to any member, voter or not. */
   private static final int ANY_MEMBER_EVERY = 3;
 
-  /** What became of a call. */
+  /** The outcome of an attempt. The constants are sent by name. */
   enum Outcome {
-    /** Answered by the leader. */
+    /** The leader has handled the call. */
     DONE,
-    /** Whoever was asked does not lead. */
+    /** The member that was asked is not the leader. */
     NOT_ME,
-    /** The leader could not do it now, or does not know what becomes of it. */
+    /** The leader cannot handle the call now, or does not know its outcome. */
     LATER
   }
 
-  /** How often it is asked again may be seen by the caller: each attempt tells when it was sent. */
+  /** An open call and its current attempt. */
   private final class Call {
     private final Map<String, Object> fields;
     private final long deadlineNanos;
@@ -51,10 +51,10 @@
   }
 
   /**
-   * A leader's answer.
+   * The reply of a leader.
    *
    * @param from the leader
-   * @param askedAt when the attempt that it answers was sent, by the caller's clock
+   * @param sentNanos when the attempt that was answered was sent, by the caller's clock
    */
   record Reply(String from, long sentNanos, Fields fields) {}
 
@@ -64,10 +64,10 @@
   private final Random random;
   private final long attemptTimeoutNanos;
 
-  /** Attempts whose answers are awaited. */
+  /** The calls whose current attempt awaits a reply, by the number of the attempt. */
   private final Map<Long, Call> awaitingReply = new HashMap<>();
 
-  /** All that are not decided, those between two attempts among them. */
+  /** All calls that are not finished, including those between two attempts. */
   private final Set<Call> openCalls = new LinkedHashSet<>();
 
   private final List<String> members;
@@ -77,7 +77,7 @@
   private boolean stopped;
 
   /**
-   * @param patienceNanos how long one attempt waits for its answer
+   * @param attemptTimeoutNanos how long one attempt waits for its reply
    */
   LeaderCalls(
       MemberSettings settings,
@@ -94,19 +94,19 @@
     this.attemptTimeoutNanos = attemptTimeoutNanos;
   }
 
-  /** Whose votes count now, as a leader says. */
+  /** Updates the voters to those that a leader has reported. */
   void updateVoters(List<String> voters) {
     if (!voters.isEmpty()) {
       this.voters = List.copyOf(voters);
     }
   }
 
-  /** Somebody is known to lead. */
+  /** Sets the known leader. */
   void setLeader(String member) {
     leader = member;
   }
 
-  /** Who leads, as far as is known here; null for nobody known. */
+  /** Returns the last known leader, or null. */
   String leader() {
     return leader;
   }
@@ -126,9 +126,9 @@
   }
 
   /**
-   * Makes a call; fails when it is given up, and then it may have been done.
+   * Makes a call. If it fails after its timeout, the leader may still have handled it.
    *
-   * @param forNanos how long it is tried
+   * @param timeoutNanos how long the call is attempted
    */
   CompletableFuture<Reply> call(Map<String, Object> fields, long timeoutNanos) {
     Call call = new Call(fields, turns.nanos() + timeoutNanos);
@@ -156,7 +156,7 @@
     }
     call.attempts++;
     call.sentNanos = now;
-    // The voters may all be others by now than the file has them.
+    // All voters may have been replaced since the settings were written.
     List<String> candidates = call.attempts % ANY_MEMBER_EVERY == 0 ? members : voters;
     call.target = leader != null ? leader : candidates.get(random.nextInt(candidates.size()));
     awaitingReply.put(number, call);
@@ -177,17 +177,18 @@
     }
   }
 
-  /** Under a new number, so that a late answer to an earlier attempt is not taken for its. */
+  /** Repeats a call under a new number, so that a late reply to an earlier attempt is ignored. */
   private void retryLater(Call call) {
-    // From nothing to a whole patience, more so with each attempt, so that many do not come at
-    // once.
+    // A random delay with exponential backoff, up to the timeout of an attempt, so that many
+    // callers
+    // do not repeat at once.
     long maxDelayNanos =
         Math.min(attemptTimeoutNanos, (attemptTimeoutNanos / 16) << Math.min(6, call.attempts));
     turns.after(
         1 + (long) (random.nextDouble() * maxDelayNanos), () -> attempt(++lastNumber, call));
   }
 
-  /** Takes an answer. */
+  /** Handles a reply. */
   void reply(String from, Fields in) throws MalformedException {
     Call call = awaitingReply.get(in.number("number"));
     if (call == null || !call.target.equals(from)) {
@@ -210,7 +211,7 @@
     }
   }
 
-  /** Where this member asks when it wants all voters that there may be. */
+  /** Returns the known voters and the given ones, without this member. */
   List<String> otherVoters(List<String> additional) {
     LinkedHashSet<String> out = new LinkedHashSet<>(voters);
     out.addAll(additional);
--- a/src/main/java/hazelspoke/agreement/member/Leadership.java
+++ b/src/main/java/hazelspoke/agreement/member/Leadership.java
@@ -19,15 +19,15 @@
 import java.util.function.Consumer;
 
 /**
- * What a voter does while it leads: it answers calls, and counts the terms of all sessions.
- * Whatever it says of the record it says after a majority has confirmed that it still leads; those
- * who ask meanwhile share the next confirmation.
+ * A voter's duties while it is the leader: it handles calls and tracks the leases of all sessions.
+ * It reports the state of the record only after a majority has confirmed that it is still the
+ * leader; calls that arrive meanwhile share the next confirmation.
  */
 final class Leadership {
-  /** Those that are silent are tried so many ticks apart, which is half a term. */
+  /** Members with expired leases are probed at this interval, which is half a lease. */
   private static final int PROBE_TICKS = 10;
 
-  /** So many calls may wait for a confirmation; further ones are told to come later. */
+  /** How many calls may wait for a confirmation; callers of further ones retry later. */
   private static final int MAX_UNCONFIRMED_CALLS = 4_096;
 
   private final Turns turns;
@@ -81,7 +81,7 @@
     }
   }
 
-  /** A member that is to be a voter says how far it has the record. */
+  /** Handles the report of an invited member up to which index it has the record. */
   void caughtUp(String from, Fields in) throws MalformedException {
     voterChanges.caughtUp(from, in.text("as"), in.number("index"));
   }
@@ -105,11 +105,12 @@
     turns.after(tickNanos, this::tick);
   }
 
-  /** Whether the silent ones are over: then nobody listens at their ports. */
+  /** Probes the ports of members with expired leases, where nothing listens after their end. */
   private void probe() {
     for (Session session : engine.record().sessions()) {
       if (session.status() == Status.SILENT) {
-        // The attempt begins after this incarnation has joined, so a refusal is about its end.
+        // The probe starts after this incarnation has joined, so a refusal proves that it has
+        // ended.
         transport.probe(
             session.member(),
             () -> {
@@ -131,7 +132,7 @@
     propose(new Command.Lapse(session.member(), session.incarnation()))
         .whenComplete(
             (result, failure) -> {
-              // One whose fate is unknown may still come true, so nothing is said to its holder.
+              // A lapse whose outcome is unknown may still be committed: renewals stay deferred.
               if (failure != null && Engine.isRefusal(failure)) {
                 leases.lapseFailed(session);
               }
@@ -143,9 +144,9 @@
   }
 
   /**
-   * Answers a call, now or once it is decided.
+   * Handles a call; the reply is sent once the outcome is known.
    *
-   * @param heard who leads, as a member without an engine has heard; null for nobody known
+   * @param knownLeader the leader that this member knows without an engine, or null
    */
   void call(String from, Fields in, String knownLeader, Consumer<byte[]> replySender)
       throws MalformedException {
@@ -203,7 +204,10 @@
             });
   }
 
-  /** What concerns one member's own standing it says itself; what time decides, a leader does. */
+  /**
+   * Whether a member may submit a command. Each member changes only its own session; what depends
+   * on time is decided by the leader.
+   */
   private static boolean maySubmit(String from, Command command) {
     if (command instanceof Command.Join join) {
       return join.member().equals(from);
@@ -229,7 +233,7 @@
             && session.sessionEpoch() == sessionEpoch;
     if (isCurrent && session.status() == Status.THERE) {
       if (leases.isLapsing(session)) {
-        // Its lapse is under way: to say that it holds could turn out wrong.
+        // The lapse is pending: a reply that the lease is valid could turn out to be wrong.
         send.accept(LeaderCalls.Outcome.LATER);
         return;
       }
@@ -241,8 +245,9 @@
   }
 
   /**
-   * Up to where the record goes; what it says there, members have from the feed. Only after a
-   * majority has confirmed that this is the leader: who hears it may call itself current.
+   * Adds the index of the record and the voters; members receive the entries from the feed. Called
+   * only after a majority has confirmed the leadership, as the receiver relies on the index being
+   * current.
    */
   private void putIndex(Map<String, Object> reply) {
     putVoters(reply);
--- a/src/main/java/hazelspoke/agreement/member/LocalSession.java
+++ b/src/main/java/hazelspoke/agreement/member/LocalSession.java
@@ -12,19 +12,20 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A member's own standing. It joins, renews four times a term, and counts the term from before it
- * asked, shorter by what clocks may be off. Found silent it says that it is back; found over, or
- * another's, it begins a new life.
+ * The session of this member. It joins the fleet and renews the lease four times per lease
+ * duration. The lease counts from the time of the request and is shortened by the maximum clock
+ * error. If the record says that the lease has expired, the session reports that it is back; if the
+ * session has ended or belongs to another process, it joins again with a new session epoch.
  */
 final class LocalSession {
-  /** Takes over what a leader tells of the record. */
+  /** Takes over the voters and the index of the record from a leader's reply. */
   interface ReplyObserver {
     void replyReceived(LeaderCalls.Reply reply) throws MalformedException;
   }
 
   private static final int RENEWALS_PER_LEASE = 4;
 
-  /** One process may begin so many lives, as a power of two, before it meets the next one's. */
+  /** The process epoch stands above these bits, which count the session epochs of the process. */
   private static final int PROCESS_EPOCH_SHIFT = 24;
 
   private final MemberSettings settings;
@@ -39,13 +40,13 @@
   private long lastNumber;
   private long incarnation;
 
-  /** Up to where the record was at least when this life had joined. */
+  /** A lower bound of the record's index when this session epoch had joined. */
   private long joinedIndex;
 
-  /** Commands of its own: the first is under way. */
+  /** Commands of this member; the first one is in progress. */
   private final ArrayDeque<Runnable> pendingCommands = new ArrayDeque<>();
 
-  /** Its term ends then by its own clock; meaningless before it was renewed for the first time. */
+  /** When the lease expires by the local clock; valid only after the first renewal. */
   private long leaseExpiresAt;
 
   private boolean wasRenewed;
@@ -77,7 +78,7 @@
     lastNumber = 0;
     incarnation = 0;
     wasRenewed = false;
-    // A whole fleet may begin with this one.
+    // The delay is random, as the whole fleet may start at once.
     turns.after(1 + (long) (random.nextDouble() * settings.heartbeatNanos()), this::join);
   }
 
@@ -93,7 +94,7 @@
     return wasRenewed && !stopped && turns.nanos() - leaseExpiresAt < 0;
   }
 
-  /** Up to where the record has to be known before this life may count as having read it. */
+  /** Returns the index that the local copy must reach to include the record as of the join. */
   long joinedIndex() {
     return joinedIndex;
   }
@@ -102,7 +103,10 @@
     return settings.self() + "/" + storeId + "/" + Long.toHexString(sessionEpoch);
   }
 
-  /** One after the other: of two under way the later one could make the earlier one void. */
+  /**
+   * Submits a command of this member. Commands run one after the other, as the record rejects a
+   * command that arrives after a later one of the same origin.
+   */
   CompletableFuture<CommandResult> submit(Command command, long timeoutNanos) {
     CompletableFuture<CommandResult> result = new CompletableFuture<>();
     if (pendingCommands.size() >= LeaderCalls.MAX_OPEN_CALLS) {
@@ -134,7 +138,7 @@
     return result;
   }
 
-  /** A command of somebody else's, who numbers it. */
+  /** Submits a command whose origin has numbered it. */
   CompletableFuture<CommandResult> submit(Command.Numbered command, long timeoutNanos) {
     Map<String, Object> call = new LinkedHashMap<>();
     call.put("call", "command");
@@ -264,7 +268,7 @@
     wasRenewed = false;
     long leaving = incarnation;
     incarnation = 0;
-    // Whatever is under way is an answer to a life that is over.
+    // Replies to earlier requests belong to a session epoch that has ended.
     sessionEpoch++;
     lastNumber = 0;
     return submit(new Command.Leave(settings.self(), leaving), timeoutNanos);
--- a/src/main/java/hazelspoke/agreement/member/Member.java
+++ b/src/main/java/hazelspoke/agreement/member/Member.java
@@ -23,24 +23,24 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 
-/** One member of a fleet, voter or not. All calls on its turns. */
+/** A member of a fleet, voter or not. Not thread-safe: all calls run on its event loop. */
 public final class Member {
-  /** What the owner is told. */
+  /** Receives notifications of the member. */
   public interface Listener {
-    /** Something that operators may want to read, as {@code key=value} pairs after a first word. */
+    /** An event for operators: a name, then {@code key=value} pairs. */
     void event(String line);
 
-    /** What is known here has changed. */
+    /** The view of the fleet or the status of the session may have changed. */
     void changed();
   }
 
-  /** How long a command of this member's own is tried, in terms. */
+  /** How long this member attempts its own commands, in lease durations. */
   private static final int COMMAND_TIMEOUT_LEASES = 6;
 
-  /** Whose vote has ended, as a leader says, looks so much more seldom whether it is stuck. */
+  /** A member that no longer counts as a voter waits this many times longer for a restart. */
   private static final int REMOVED_RESTART_FACTOR = 8;
 
-  /** Of the questions for the founders each so many says whom it waits for. */
+  /** One in this many requests for the founders reports which voters are missing. */
   private static final int WHO_REQUESTS_PER_EVENT = 20;
 
   private final MemberSettings settings;
@@ -65,11 +65,11 @@
   private boolean stopped;
 
   /**
-   * Begins, and goes on by itself.
+   * Starts the member, which runs until {@link #leave} or {@link #stop}.
    *
-   * @param random of this life alone; it draws names that nobody else may draw
-   * @throws IOException if the folder cannot be read or written
-   * @throws WrongFolderException if it is another member's
+   * @param random not shared with any other process; it generates unique ids
+   * @throws IOException if the data directory cannot be read or written
+   * @throws WrongDataDirectoryException if it belongs to another member or fleet
    */
   public Member(
       MemberSettings settings,
@@ -102,7 +102,7 @@
       identity = StoreIdentity.open(disk, settings.fleet(), settings.self(), random);
       openStore();
     } catch (MalformedException | StoreDamagedException e) {
-      // What it has voted may be among what is gone, so it must never vote under that name again.
+      // Votes may be among the lost data, so this member must never vote under that id again.
       listener.event("damaged why=\"" + e.getMessage() + "\" then=\"waits to be made a voter\"");
       identity = StoreIdentity.replace(disk, settings.fleet(), settings.self(), random);
     }
@@ -163,16 +163,17 @@
   }
 
   /**
-   * Starts a voter's engine anew from its disk when it has heard of no leader for long, as if its
-   * process had been. MicroRaft 0.7 needs it: a follower that has asked for votes beforehand and
-   * then hears of a leader of the same term keeps the mark that it is asking, and when that leader
-   * dies it never asks again. If its log is the longest, nobody else is elected either.
+   * Restarts a voter's engine from its disk after a long time without a leader, as a restart of the
+   * process would. This works around a defect of MicroRaft 0.7: a follower that has started a
+   * pre-vote and then learns of a leader of the same term still counts as having a pre-vote in
+   * progress, so it never starts another one after that leader has failed. If its log is the
+   * longest, no other voter can be elected either.
    */
   private void restartIfStuck() {
     if (stopped || diskFailed) {
       return;
     }
-    // One that was removed may never hear of it, and has nobody to wait for.
+    // A removed voter may never learn of its removal, and no leader contacts it any more.
     boolean isRemoved = !calls.voters().contains(settings.self());
     int restartHeartbeats =
         components.heartbeatsBeforeRestart() * (isRemoved ? REMOVED_RESTART_FACTOR : 1);
@@ -183,7 +184,7 @@
       listener.event("restarts engine leader_silent_ms=" + leaderSilentNanos / 1_000_000);
       restartEngine();
     }
-    // As often where it was removed: it may be made a voter again meanwhile.
+    // The check interval does not depend on the removal, as the member may become a voter again.
     turns.after(
         (long)
             (settings.heartbeatNanos()
@@ -208,7 +209,7 @@
     }
   }
 
-  /** Asks round until the founders are known. */
+  /** Asks all voters repeatedly until the founders are known. */
   private void askWho() {
     if (stopped || engine != null) {
       return;
@@ -230,7 +231,7 @@
     if (founders.isEmpty() || engine != null) {
       return;
     }
-    // First the store: a folder that knows of a record and has none has lost it.
+    // The store comes first: a directory with founders but without a store counts as damaged.
     try {
       store = RecordStore.open(disk);
     } catch (StoreDamagedException e) {
@@ -244,9 +245,9 @@
   }
 
   /**
-   * Takes a packet; whatever it holds, this goes on.
+   * Handles a packet; a malformed one is logged and dropped.
    *
-   * @param back the way to who sent it, for answers
+   * @param reply sends a packet back to the sender
    */
   public void receive(String from, byte[] packet, Consumer<byte[]> reply) {
     if (stopped) {
@@ -275,13 +276,13 @@
   }
 
   private void handleRaft(String from, Fields in) throws MalformedException {
-    // What was meant for an earlier voter of this name is not this one's.
+    // Messages for an earlier voter id of this member are dropped.
     if (engine != null && in.text("to").equals(identity.voterId().home())) {
       engine.handle(from, in.bytes("message"));
     }
   }
 
-  /** Where no engine goes on, who follows hears nothing, and finds another voter. */
+  /** Without a running engine nothing is sent, so that the subscriber switches to another voter. */
   private void handleFollow(String from, Fields in, Consumer<byte[]> reply)
       throws MalformedException {
     if (engine != null && !diskFailed) {
@@ -296,7 +297,7 @@
     out.put("founders", identity.founders().stream().map(VoterId::toString).toList());
     reply.accept(Cbor.write(out));
     if (bootstrap != null && settings.voters().contains(from)) {
-      // Who asks knows of no founders.
+      // The sender knows no founders.
       bootstrapFrom(bootstrap.learnNewVoter(from, senderStoreId));
     }
   }
@@ -310,13 +311,14 @@
   }
 
   /**
-   * Begins to be filled, with the engine that only voters need; asked again and again meanwhile. It
-   * votes under a name that nobody has had: MicroRaft 0.7 ends a voter that reads of its own
-   * removal, also where it was added again since, and can spin for ever doing so.
+   * Handles an invitation to become a voter, which is repeated until the member has the record:
+   * starts the engine, which only voters need. The member votes under a new voter id, as MicroRaft
+   * 0.7 terminates a voter that reads its own removal in the log, even if it was added again later,
+   * and can loop forever doing so.
    */
   private void handleInvite(Fields in, Consumer<byte[]> reply)
       throws MalformedException, IOException {
-    // What was meant for an earlier folder of this name is not this one's.
+    // Invitations for an earlier store of this member are dropped.
     if (!in.text("home").equals(identity.storeId()) || diskFailed) {
       return;
     }
@@ -364,17 +366,17 @@
     listener.changed();
   }
 
-  /** Puts a command on the record, once, however often it is asked again for it. */
+  /** Submits a command; it is applied at most once, however often it is sent. */
   public CompletableFuture<CommandResult> submit(Command command) {
     return session.submit(command, COMMAND_TIMEOUT_LEASES * settings.leaseNanos());
   }
 
-  /** The same for somebody who numbers commands, and may ask several members for the same. */
+  /** Submits a numbered command, which its origin may also submit at other members. */
   public CompletableFuture<CommandResult> submit(Command.Numbered command, long timeoutNanos) {
     return session.submit(command, timeoutNanos);
   }
 
-  /** What the record says, no older than this call. */
+  /** Reads the record from the leader, as of this call or later. */
   public CompletableFuture<FleetRecord> read(long timeoutNanos) {
     return session
         .call("read", timeoutNanos)
@@ -389,38 +391,38 @@
             });
   }
 
-  /** Makes a member a voter, or ends its vote. */
+  /** Makes a member a voter, or removes it from the voters. */
   public CompletableFuture<CommandResult> changeVoter(
       boolean add, String member, long timeoutNanos) {
     return session.changeVoter(add, member, timeoutNanos);
   }
 
-  /** Whether it has joined and read the record as of then or later, in this life. */
+  /** Whether this session epoch has joined and the local record includes the join. */
   public boolean hasJoined() {
     return session.incarnation() > 0 && subscriber.record().index() >= session.joinedIndex();
   }
 
-  /** Whether its session holds by its own clock; if not it is alone. */
+  /** Whether the lease is valid by the local clock; if not, the member counts as partitioned. */
   public boolean hasValidLease() {
     return session.hasValidLease();
   }
 
-  /** Its incarnation; 0 while it has none. */
+  /** Returns the incarnation of the session; 0 if there is none. */
   public long incarnation() {
     return session.incarnation();
   }
 
-  /** Whether this member leads, as far as it knows. */
+  /** Whether this member is the leader, as far as it knows. */
   public boolean isLeader() {
     return engine != null && engine.leads();
   }
 
-  /** The engine's record where there is one, else null; for those who judge it from outside. */
+  /** Returns the record that the engine has applied, or null without an engine; for tests. */
   FleetRecord appliedRecord() {
     return engine == null ? null : engine.record();
   }
 
-  /** What is known here. */
+  /** Returns this member's view of the fleet. */
   public FleetView view() {
     String leader = isLeader() ? settings.self() : calls.leader();
     return new FleetView(
@@ -430,12 +432,12 @@
         calls.voters());
   }
 
-  /** Says that it goes for good, and stops once that is on the record or the time is over. */
+  /** Leaves the fleet; stops once the record says so or the timeout is over. */
   public CompletableFuture<Void> leave(long timeoutNanos) {
     return session.leave(timeoutNanos).handle((done, failure) -> null).thenRun(this::stop);
   }
 
-  /** Ends at once, as if its process had. */
+  /** Stops at once, without leaving the fleet. */
   public void stop() {
     if (stopped) {
       return;
@@ -448,7 +450,7 @@
     if (engine != null) {
       engine.stop();
     }
-    // After the engine, which ends in a turn of its own.
+    // The store is closed after the engine, which stops in an event-loop iteration of its own.
     turns.execute(this::closeStore);
   }
 
@@ -510,7 +512,7 @@
     public void parted(String why) {
       listener.event("restarts engine why=\"" + why + "\"");
       leadership.leadershipChanged(false);
-      // Not at once, as what has happened may happen again.
+      // The restart is delayed, as the cause may occur again.
       turns.after(settings.heartbeatNanos(), Member.this::restartEngine);
     }
 
--- a/src/main/java/hazelspoke/agreement/member/MemberSettings.java
+++ b/src/main/java/hazelspoke/agreement/member/MemberSettings.java
@@ -4,19 +4,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one member is told of its fleet.
+ * The settings of one member of a fleet.
  *
- * @param fleet its name; members of another one are strangers
- * @param self this member's name
- * @param address where the others reach it
- * @param members the names of all
- * @param voters the names of those whose votes count at the beginning; 1, 3, 5 or 7
- * @param leaseNanos how long a session holds without being renewed, in ns
- * @param drift by what part a member's clock may go too fast or too slow, 0 to 0.1
- * @param heartbeatNanos between two signs of life of the leader, in ns
- * @param snapshotEvery how many entries are kept before a snapshot takes their place
- * @param refusalProvesEnd whether a machine that refuses a connection at a silent member's port
- *     says that its process is over; not so where something between can refuse in its place
+ * @param fleet the name of the fleet; members of another fleet are rejected
+ * @param self the name of this member
+ * @param address where other members reach this one
+ * @param members the names of all members
+ * @param voters the names of the initial voters; 1, 3, 5 or 7
+ * @param leaseNanos how long a session is valid without a renewal
+ * @param drift the maximum relative clock error of a member, 0 to 0.1
+ * @param heartbeatNanos the interval between two heartbeats of the leader
+ * @param snapshotEvery how many entries are kept before a snapshot replaces them
+ * @param refusalProvesEnd whether a refused connection at the port of a member with an expired
+ *     lease proves that its process has ended; false where a device in between can refuse
+ *     connections
  */
 public record MemberSettings(
     String fleet,
@@ -29,16 +30,16 @@
     long heartbeatNanos,
     int snapshotEvery,
     boolean refusalProvesEnd) {
-  /** The usual part by which a clock may be off. */
+  /** The default maximum relative clock error. */
   public static final double DEFAULT_DRIFT = 0.01;
 
-  /** The usual term. */
+  /** The default duration of a lease. */
   public static final long DEFAULT_LEASE_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  /** The usual time between signs of life; an election takes four to seven of these. */
+  /** The default heartbeat interval; an election takes four to seven intervals. */
   public static final long DEFAULT_HEARTBEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-  /** The usual number of entries between snapshots. */
+  /** The default number of entries between snapshots. */
   public static final int DEFAULT_SNAPSHOT_EVERY = 10_000;
 
   public MemberSettings {
--- a/src/main/java/hazelspoke/agreement/member/SessionLeases.java
+++ b/src/main/java/hazelspoke/agreement/member/SessionLeases.java
@@ -9,9 +9,10 @@
 import java.util.Map;
 
 /**
- * A leader's count of the others' terms. Each begins anew with its leadership and with each
- * renewal, and is longer than the holder's own count by what both clocks may be off. What the
- * leader itself was late counts against nobody.
+ * The leases of all sessions, as the leader tracks them. A lease starts again when the leadership
+ * starts and with each renewal. The leader's lease is longer, and the holder's shorter, by the
+ * maximum clock error, so that it expires at the holder first. Time in which the leader itself was
+ * stalled does not count.
  */
 class SessionLeases {
   private record Lease(long incarnation, long sinceIndex, long expiresAt, boolean isLapsing) {}
@@ -22,20 +23,21 @@
   private long lastTickNanos;
 
   /**
-   * @param tickNanos how often {@link #tick} is called
+   * @param drift the maximum relative clock error
+   * @param tickNanos the interval between calls of {@link #tick}
    */
   SessionLeases(long leaseNanos, double drift, long tickNanos) {
     durationNanos = (long) (leaseNanos * (1 + drift));
     this.tickNanos = tickNanos;
   }
 
-  /** The leadership begins; every term does as well, at the next tick. */
+  /** Starts a leadership; every lease starts again at the next tick. */
   void start(long now) {
     leases.clear();
     lastTickNanos = now;
   }
 
-  /** A renewal counts, as the record shows it and a majority has confirmed. */
+  /** Renews a lease, after a majority has confirmed the leadership. */
   void renew(Session session, long now) {
     leases.put(session.member(), newLease(session, now));
   }
@@ -45,7 +47,8 @@
   }
 
   /**
-   * Whether its lapse was given out, so that nothing may be said to the holder until it is known.
+   * Whether the lapse of this session was proposed. The holder must not be told that its lease is
+   * valid until the outcome is known.
    */
   boolean isLapsing(Session session) {
     Lease lease = leases.get(session.member());
@@ -55,7 +58,7 @@
         && lease.isLapsing;
   }
 
-  /** The lapse could not be given out; it is tried again. */
+  /** The lapse could not be proposed; the next tick tries again. */
   void lapseFailed(Session session) {
     if (isLapsing(session)) {
       Lease lease = leases.get(session.member());
@@ -64,7 +67,7 @@
     }
   }
 
-  /** Those whose terms have ended; each is named once. */
+  /** Returns the sessions whose leases have expired; each is returned once. */
   List<Session> tick(long now, Collection<Session> sessions) {
     long stalledNanos = Math.max(0, now - lastTickNanos - 2 * tickNanos);
     lastTickNanos = now;
--- a/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
+++ b/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
@@ -18,8 +18,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * A data folder's own name, which it gets when it is new and which no other folder has. Votes and
- * sessions name it, so that a folder that was lost is never taken for the one that is there.
+ * The unique store id of a data directory, which is generated when the directory is new, with what
+ * has to persist beside it. Votes and sessions name the id, so that a new directory is never taken
+ * for one that was lost.
  */
 final class StoreIdentity {
   private static final String FILE = "member";
@@ -35,11 +36,13 @@
   private Invitation invitation = Invitation.NONE;
 
   /**
-   * As whom this folder votes, and since which entry that its fleet has agreed on.
+   * The identity under which this store votes after it was made a voter, and the committed entry
+   * that says so.
    *
-   * @param home what stands in the place of the folder's name; empty before the first
-   * @param term of the leader who said so
-   * @param index of the entry
+   * @param voterStoreId replaces the store id in the voter's name; empty before the first
+   *     invitation
+   * @param term the term of the leader that sent the invitation
+   * @param index the index of the entry
    */
   record Invitation(String voterStoreId, long term, long index) {
     static final Invitation NONE = new Invitation("", 0, 0);
@@ -75,10 +78,10 @@
   }
 
   /**
-   * Reads the name of a folder, or gives it one, and counts the process that does so.
+   * Reads the identity of a data directory, or creates one, and increments the process epoch.
    *
-   * @throws WrongFolderException if it is another member's, or another fleet's
-   * @throws MalformedException if it is not readable, or gone while other files are there
+   * @throws WrongDataDirectoryException if the directory belongs to another member or fleet
+   * @throws MalformedException if the identity is unreadable, or missing while other files exist
    */
   static StoreIdentity open(Disk disk, String fleet, String member, Random random)
       throws IOException, WrongDataDirectoryException, MalformedException {
@@ -100,7 +103,7 @@
     return created;
   }
 
-  /** Puts aside whatever is there, in place of what was put aside before, and begins anew. */
+  /** Renames all files as damaged, deletes those renamed earlier, and creates a new identity. */
   static StoreIdentity replace(Disk disk, String fleet, String member, Random random)
       throws IOException {
     for (String file : disk.list()) {
@@ -108,7 +111,7 @@
         disk.delete(file);
       }
     }
-    // The name goes first: without it nothing of the rest is read again.
+    // The identity is renamed first: without it, no other file is ever read again.
     if (disk.list().contains(FILE)) {
       disk.rename(FILE, DAMAGED_PREFIX + FILE);
       disk.syncFolder();
@@ -184,7 +187,7 @@
     return storeId;
   }
 
-  /** Whose name its votes bear. */
+  /** Returns the identity under which this store votes. */
   VoterId voterId() {
     return new VoterId(
         member, invitation.voterStoreId().isEmpty() ? storeId : invitation.voterStoreId());
@@ -194,23 +197,23 @@
     return invitation;
   }
 
-  /** Votes as somebody new from now on; lasting when this returns. */
+  /** Stores an invitation, which gives the store a new voter identity; durable on return. */
   void acceptInvitation(Invitation accepted) throws IOException {
     invitation = accepted;
     write();
   }
 
-  /** How many processes have used this folder, this one among them. */
+  /** Returns how many processes have used this data directory, including this one. */
   long processEpoch() {
     return processEpoch;
   }
 
-  /** The voters at the beginning of the record; empty as long as this folder knows of none. */
+  /** Returns the initial voters of the record; empty while this store has no record. */
   List<VoterId> founders() {
     return founders;
   }
 
-  /** Keeps them; lasting when this returns. */
+  /** Stores the initial voters; durable on return. */
   void writeFounders(List<VoterId> accepted) throws IOException {
     founders = List.copyOf(accepted);
     write();
--- a/src/main/java/hazelspoke/agreement/member/Transport.java
+++ b/src/main/java/hazelspoke/agreement/member/Transport.java
@@ -1,15 +1,15 @@
 package hazelspoke.agreement.member;
 
-/** The way to the other members. */
+/** Sends packets to other members. */
 public interface Transport {
-  /** Sends a packet to a member, itself included; it may be lost, and never comes twice. */
+  /** Sends a packet to a member, which may be the sender; it may be lost but not duplicated. */
   void send(String member, byte[] packet);
 
   /**
-   * Tries to connect anew to a member's port.
+   * Opens a new connection to a member's port.
    *
-   * @param refused is run if its machine says that nobody listens there; a way that is cut, or a
-   *     process that stands still, cannot bring that about
+   * @param refused runs if the member's machine refuses the connection, as nothing listens there; a
+   *     network partition or a stalled process does not cause this
    */
   void probe(String member, Runnable refused);
 }
--- a/src/main/java/hazelspoke/agreement/member/VoterChanges.java
+++ b/src/main/java/hazelspoke/agreement/member/VoterChanges.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * How a leader makes a member a voter. It is filled first, without a vote: one that counted at once
- * would be needed for a majority that it cannot be part of yet. Members that the file names as
- * voters have an engine; any other starts one when it is invited, and keeps it. Whoever stood under
- * the member's name before with another folder loses its vote at the last moment, as until then the
- * fleet may need it.
+ * The leader's changes of the set of voters. A new voter first receives the record without a vote:
+ * with a vote it would at once count towards a majority that it cannot join yet. Members that the
+ * settings name as voters have an engine; any other member starts one when it is invited, and keeps
+ * it. An earlier voter of the same member with another store is removed last, as the fleet may need
+ * its vote until then.
  */
 final class VoterChanges {
-  /** A member was not filled in time; the message is for operators. */
+  /** A member did not receive the record in time; the message is for operators. */
   private static final class NotCaughtUpException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -30,19 +30,19 @@
     }
   }
 
-  /** One that is being filled. */
+  /** A member that is being made a voter. */
   private static final class Invitee {
     final VoterId voter;
     final String storeId;
     final CompletableFuture<Void> caughtUp = new CompletableFuture<>();
 
-    /** All of it: asked for again while it is under way, it is the same. */
+    /** The complete change; a repeated request for a pending change returns the same future. */
     CompletableFuture<Void> added;
 
-    /** Null until it is agreed that it is filled. */
+    /** Null until the entry that adds the member without a vote is committed. */
     StoreIdentity.Invitation invitation;
 
-    /** Up to where it has to have the record then. */
+    /** The index that the member's record has to reach. */
     long requiredIndex;
 
     Invitee(VoterId voter, String storeId) {
@@ -51,22 +51,22 @@
     }
   }
 
-  /** Between a folder's name and what tells one voter of it from another. */
+  /** Separates a store id from the suffix that distinguishes the voters of the same store. */
   private static final String VOTER_ID_SEPARATOR = "+";
 
-  /** A member is waited for so many terms until it is filled. */
+  /** How many lease durations a member has to receive the record. */
   private static final int CATCH_UP_LEASES = 6;
 
-  /** More votes than these bear no loss that matters, and slow every entry. */
+  /** More voters would slow down every entry without a useful gain in fault tolerance. */
   private static final int MAX_VOTERS = 7;
 
   private final Turns turns;
   private final Transport transport;
 
-  /** Between two invitations. */
+  /** The interval between two invitations. */
   private final long inviteIntervalNanos;
 
-  /** How long one is waited for. */
+  /** How long a member has to receive the record. */
   private final long catchUpTimeoutNanos;
 
   private final Map<String, Invitee> invitees = new HashMap<>();
@@ -98,23 +98,25 @@
     this.founders = List.copyOf(founders);
   }
 
-  /** Whoever waits is told that this is not the one to ask any more. */
+  /** Fails all pending changes, as this member is no longer the leader. */
   void stop() {
     for (Invitee invitee : List.copyOf(invitees.values())) {
       invitee.caughtUp.completeExceptionally(new IllegalStateException("leads no more"));
     }
   }
 
-  /** What a failure says to operators, if it is that a member was not filled; else null. */
+  /**
+   * Returns the message for operators if a member did not receive the record in time; else null.
+   */
   static String catchUpFailure(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     return cause instanceof NotCaughtUpException ? cause.getMessage() : null;
   }
 
   /**
-   * What speaks against a change, for operators; null for nothing.
+   * Returns why a change is rejected, for operators; null if it is allowed.
    *
-   * @param session the member's, or null
+   * @param session the session of the member, or null
    */
   String rejection(boolean add, String member, Session session) {
     List<VoterId> voters = engine.voters();
@@ -132,10 +134,10 @@
   }
 
   /**
-   * Makes a member a voter, under a name of the voter's own. Fails where it is not filled in time;
-   * then it stays one that is filled, until it is asked for again.
+   * Makes a member a voter, under a new voter id. Fails if the member does not receive the record
+   * in time; it then keeps receiving it without a vote until the change is requested again.
    *
-   * @param folder the name of the member's folder
+   * @param storeId the id of the member's store
    */
   CompletableFuture<Void> add(String member, String storeId) {
     Invitee pending = invitees.get(member);
@@ -157,7 +159,8 @@
                 entry -> {
                   invitee.invitation =
                       new StoreIdentity.Invitation(voter.home(), engine.term(), entry);
-                  // What it applies are entries; a change of voters, as this was one, is none.
+                  // The record counts applied entries; a change of voters, such as this one, is
+                  // none.
                   invitee.requiredIndex = engine.record().index();
                   invite(invitee, turns.nanos() + catchUpTimeoutNanos);
                   return invitee.caughtUp;
@@ -168,7 +171,7 @@
     return invitee.added;
   }
 
-  /** A founder votes under its folder's name, any other under that and some more. */
+  /** A founder votes under its store id, any later voter under the store id with a suffix. */
   private static boolean belongsTo(VoterId voter, String storeId) {
     return voter.home().equals(storeId) || voter.home().startsWith(storeId + VOTER_ID_SEPARATOR);
   }
@@ -192,7 +195,7 @@
     turns.after(inviteIntervalNanos, () -> invite(invitee, deadlineNanos));
   }
 
-  /** Hears how far one has the record. */
+  /** Handles a member's report of the index up to which it has the record. */
   void caughtUp(String member, String voterStoreId, long index) {
     Invitee invitee = invitees.get(member);
     if (invitee != null
@@ -203,7 +206,10 @@
     }
   }
 
-  /** Ends the vote of a member, whatever its folder. Who leads hands that over first, and fails. */
+  /**
+   * Removes a voter, whatever its store. A leader that is to remove itself first transfers the
+   * leadership and fails this call, so that the caller repeats it at the new leader.
+   */
   CompletableFuture<Void> remove(String member) {
     if (!member.equals(self) || !components.transfersLeadershipBeforeOwnRemoval()) {
       return removeOthers(member, null);
--- a/src/main/java/hazelspoke/agreement/member/WrongDataDirectoryException.java
+++ b/src/main/java/hazelspoke/agreement/member/WrongDataDirectoryException.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.member;
 
-/** A data folder that is another member's; the message is one line. */
+/** The data directory belongs to another member or fleet; the message is one line. */
 public final class WrongDataDirectoryException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/hazelspoke/agreement/member/package-info.java
+++ b/src/main/java/hazelspoke/agreement/member/package-info.java
@@ -1,6 +1,7 @@
 /**
- * A member's part in its fleet: founding the record, belonging to it, renewing its session, the way
- * in to whoever leads, and what the leader decides by time. Deterministic: clock, turns, network,
- * disk and randomness are given from outside, so the same code runs in service and in a simulator.
+ * Membership in a fleet: bootstrapping the record, joining it, renewing the session's lease, calls
+ * to the leader, and the leader's expiry of leases. The code is deterministic: clock, scheduling,
+ * network, disk and randomness are passed in, so it runs unchanged in production and in a
+ * simulator.
  */
 package hazelspoke.agreement.member;
--- a/src/main/java/hazelspoke/agreement/record/CommandResult.java
+++ b/src/main/java/hazelspoke/agreement/record/CommandResult.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * What became of a command.
+ * The result of applying a command to the record.
  *
- * @param succeeded whether it changed the record, or had done so before
- * @param number the incarnation of who joined, the version of a note (the present one if it was not
- *     changed); else 0
- * @param reason one line where it was not done
+ * @param succeeded whether the record is in the requested state, changed by this command or before
+ * @param number the incarnation for a join, the version for a note (the current version if the note
+ *     was not changed); for other commands the index of an entry, or 0
+ * @param reason one line that says why the command was rejected; empty if it succeeded
  */
 public record CommandResult(boolean succeeded, long number, String reason) {
   static CommandResult success(long number) {
@@ -22,7 +22,7 @@
     return new CommandResult(false, number, reason);
   }
 
-  /** The fields of an answer, ready to be written. */
+  /** Returns the fields of this result for encoding. */
   public Map<String, Object> fields() {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("done", succeeded);
@@ -32,9 +32,9 @@
   }
 
   /**
-   * Reads what {@link #fields} has written.
+   * Reads a result from the fields that {@link #fields} returned.
    *
-   * @throws MalformedException for anything else
+   * @throws MalformedException if a field is missing or has another type
    */
   public static CommandResult read(Fields in) throws MalformedException {
     return new CommandResult(in.truth("done"), in.number("number"), in.text("why"));
--- a/src/main/java/hazelspoke/agreement/record/FleetRecord.java
+++ b/src/main/java/hazelspoke/agreement/record/FleetRecord.java
@@ -11,20 +11,20 @@
 import java.util.TreeMap;
 
 /**
- * What the entries up to one have come to: who belongs, the notes, and the last command of each
- * origin with its answer, by which a repeat is told from a new one. Bounded: sessions, notes and
- * origins each have a most. One owner, no locks.
+ * The state after applying all entries up to an index: the sessions, the notes, and the last
+ * command of each origin with its result, by which repeated commands are recognised. The number of
+ * sessions, notes and origins is limited. Not thread-safe.
  */
 public final class FleetRecord {
-  /** The most members that a record has had, those that are gone among them. */
+  /** The maximum number of members that ever joined; members that have ended count. */
   public static final int MAX_SESSIONS = 2_000;
 
   static final int MAX_NOTES = 256;
 
-  /** Of the origins beyond that the one that was silent for the longest is forgotten. */
+  /** Beyond this number, the origin whose last command is the oldest is dropped. */
   static final int MAX_ORIGINS = 4_096;
 
-  /** A text with the index of the entry that wrote it. */
+  /** The value of a note and its version, which is the index of the entry that wrote it. */
   public record NoteValue(long version, String value) {}
 
   private record LastCommand(long number, CommandResult result) {}
@@ -33,44 +33,44 @@
   private final TreeMap<String, Session> sessions = new TreeMap<>();
   private final TreeMap<String, NoteValue> notes = new TreeMap<>();
 
-  /** In the order of their last commands. */
+  /** Ordered by the time of the last command, oldest first. */
   private final LinkedHashMap<String, LastCommand> origins = new LinkedHashMap<>();
 
-  /** The index of the last entry that was applied; 0 before the first. */
+  /** Returns the index of the last applied entry; 0 before the first. */
   public long index() {
     return index;
   }
 
-  /** By name. */
+  /** Returns the newest session of each member, ordered by member name. */
   public List<Session> sessions() {
     return List.copyOf(sessions.values());
   }
 
-  /** The newest incarnation of a member, or null. */
+  /** Returns the session of a member's newest incarnation, or null. */
   public Session session(String member) {
     return sessions.get(member);
   }
 
-  /** A note, or null. */
+  /** Returns a note, or null. */
   public NoteValue note(String key) {
     return notes.get(key);
   }
 
-  /** By key. */
+  /** Returns all notes by key. */
   public Map<String, NoteValue> notes() {
     return Map.copyOf(notes);
   }
 
-  /** Goes on to an entry that says nothing here, such as a leader's first. */
+  /** Advances past an entry without a command, such as the first entry of a leader's term. */
   public void advanceTo(long index) {
     this.index = index;
   }
 
   /**
-   * Takes the entry of an index as it stands on the record: a command's bytes, or none where a
-   * leader's term begins.
+   * Applies an encoded entry.
    *
-   * @return what has become of a command; null where there is none
+   * @param entry an encoded command, or empty at the beginning of a leader's term
+   * @return the result of the command; null for an empty entry
    */
   public CommandResult applyEntry(long index, byte[] entry) {
     if (entry.length == 0) {
@@ -80,16 +80,16 @@
     try {
       return apply(index, Command.Numbered.read(entry));
     } catch (MalformedException e) {
-      // Of a later version, and the same for all that are of this one.
+      // The entry was written by a later version; all members of this version skip it alike.
       advanceTo(index);
       return CommandResult.rejected(0, e.getMessage());
     }
   }
 
   /**
-   * Applies the entry of an index, once for each number of an origin.
+   * Applies a command, at most once for each origin and number.
    *
-   * @return what has become of it, the first time
+   * @return the result of the first application
    */
   public CommandResult apply(long index, Command.Numbered entry) {
     this.index = index;
@@ -119,7 +119,7 @@
     } else if (command instanceof Command.Back back) {
       return changeStatus(back.member(), back.incarnation(), Status.SILENT, Status.THERE);
     } else if (command instanceof Command.Refused refused) {
-      // Only of one whose term is over already: who still renews is not over.
+      // Applies only to a session whose lease has expired: a process that still renews is running.
       return changeStatus(refused.member(), refused.incarnation(), Status.SILENT, Status.REFUSED);
     } else if (command instanceof Command.Vouch vouch) {
       return confirmEnd(vouch.member());
@@ -136,11 +136,13 @@
             : CommandResult.success(before.incarnation());
       }
       if (before.storeId().equals(join.storeId()) && join.sessionEpoch() < before.sessionEpoch()) {
-        // Late, and of a process that is over.
+        // A delayed command of a process that has ended.
         return CommandResult.rejected(
             before.incarnation(), "a later process has joined with the same folder");
       }
-      // A folder is used by one process at a time, so a second life in it is the first one's end.
+      // One process uses a data directory at a time, so a later epoch proves that the earlier
+      // process
+      // has ended.
       if (!before.status().hasEnded() && !before.storeId().equals(join.storeId())) {
         return CommandResult.rejected(
             before.incarnation(),
@@ -222,7 +224,7 @@
     return CommandResult.success(index);
   }
 
-  /** All of it, the same bytes wherever the same entries were applied. */
+  /** Encodes the state; the same entries always give the same bytes. */
   public byte[] bytes() {
     List<Map<String, Object>> encodedSessions = new ArrayList<>();
     for (Session s : sessions.values()) {
@@ -262,9 +264,9 @@
   }
 
   /**
-   * Reads what {@link #bytes} has written.
+   * Decodes what {@link #bytes} returned.
    *
-   * @throws MalformedException for anything else
+   * @throws MalformedException if the bytes are malformed
    */
   public static FleetRecord read(byte[] bytes) throws MalformedException {
     Fields in = Cbor.read(bytes);
--- a/src/main/java/hazelspoke/agreement/record/Session.java
+++ b/src/main/java/hazelspoke/agreement/record/Session.java
@@ -1,14 +1,14 @@
 package hazelspoke.agreement.record;
 
 /**
- * The standing of a member's newest incarnation.
+ * The session of a member's newest incarnation.
  *
- * @param member its name
- * @param storeId its data folder's own name
- * @param sessionEpoch of the process; higher than those before it in the same folder
- * @param incarnation the index of the entry by which it joined
- * @param address where the others reach it
- * @param sinceIndex the index of the entry that gave it this standing
+ * @param member the name of the member
+ * @param storeId the unique id of the member's data directory
+ * @param sessionEpoch higher than every earlier epoch of the same data directory
+ * @param incarnation the index of the entry by which this incarnation joined
+ * @param address where other members reach the process
+ * @param sinceIndex the index of the entry that set this status
  */
 public record Session(
     String member,
@@ -18,20 +18,20 @@
     String address,
     Status status,
     long sinceIndex) {
-  /** What the record knows of a process. */
+  /** The status of a session. The constants are stored by name. */
   public enum Status {
-    /** It renews in time. */
+    /** Active: the process renews its lease in time. */
     THERE,
-    /** Past its term; the process may still run. */
+    /** The lease has expired; the process may still run. */
     SILENT,
-    /** Certain to be over: it left. */
+    /** The process has ended for certain: it left the fleet. */
     LEFT,
-    /** Certain to be over: its machine refused a connection. */
+    /** The process has ended for certain: its machine refused a connection. */
     REFUSED,
-    /** Certain to be over: an operator said so. */
+    /** The process has ended for certain: an operator confirmed it. */
     VOUCHED;
 
-    /** Whether it is certain to be over. */
+    /** Returns whether the process has ended for certain. */
     public boolean hasEnded() {
       return this != THERE && this != SILENT;
     }
--- a/src/main/java/hazelspoke/agreement/record/package-info.java
+++ b/src/main/java/hazelspoke/agreement/record/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What the record says: a machine that is told the agreed entries, in their order, and comes to the
- * same at every gateway. No I/O, no clock, no random source; whatever depends on time is decided by
- * a leader and comes as an entry.
+ * The replicated state machine of the fleet. It applies the committed entries in order and reaches
+ * the same state at every gateway. It uses no I/O, no clock and no source of randomness: whatever
+ * depends on time is decided by a leader and arrives as an entry.
  */
 package hazelspoke.agreement.record;
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
@@ -16,11 +16,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Feeds and those that follow them under drawn faults. {@code -Dfeed.seeds=100000} plays more of
- * them, {@code -Dfeed.members=540} larger ones, {@code -Dfeed.first} others.
+ * Runs the feed simulation with random faults. {@code -Dfeed.seeds=100000} runs more seeds, {@code
+ * -Dfeed.members=540} larger fleets, {@code -Dfeed.first} starts at another seed; {@code
+ * -Dfeed.mutants=true} prints how many seeds find each mutant.
  */
 class FeedSimulationTest {
-  /** Feeds that lack one guard each. */
+  /** Feeds that each lack one safeguard. */
   enum Mutants {
     APPLIES_ENTRIES_ACROSS_A_GAP {
       @Override
@@ -85,7 +86,7 @@
 
               @Override
               protected byte[] encoded(byte[] packet) {
-                // As with one buffer for all: the next packet is written over the one before.
+                // As if all packets shared one buffer: each overwrites the previous one.
                 System.arraycopy(packet, 0, previous, 0, Math.min(packet.length, previous.length));
                 previous = packet;
                 return packet;
@@ -128,7 +129,7 @@
     for (int i = 0; i < outcomes.size(); i++) {
       assertThat(outcomes.get(i).violation()).as("seed %d", first + i).isNull();
     }
-    // A play with no snapshot and nobody that leaves a voter shows little.
+    // Without snapshots and switches to another voter the runs would cover little.
     assertThat(outcomes.stream().mapToLong(Outcome::entries).sum()).isGreaterThan(40 * seeds);
     assertThat(outcomes.stream().mapToLong(Outcome::snapshotPieces).sum())
         .isGreaterThan(20 * seeds);
--- a/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
+++ b/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
@@ -36,9 +36,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * A whole fleet in virtual time: real members with the real engine and store, over a network,
- * clocks and disks that fail as drawn from a seed. What must hold is looked at after each step; at
- * the end the faults cease, and all has to be well again.
+ * Simulates a fleet in virtual time: real members with the real engine and store, on a network,
+ * clocks and disks with random faults that a seed determines. Invariants are checked after each
+ * event. At the end the faults stop, and the fleet has to recover completely.
  */
 final class FleetSimulation {
   private static final long MS = 1_000_000;
@@ -52,31 +52,31 @@
   private static final int MIN_VOTERS = 3;
   private static final int MAX_VOTERS = 5;
 
-  // The engine says much; held here, as loggers that nobody holds forget their levels.
+  // The engine logs a lot. The reference keeps the logger, and so its level, from being collected.
   private static final Logger ENGINE = Logger.getLogger("io.microraft");
 
   static {
     ENGINE.setLevel(Level.parse(System.getProperty("fleet.engine.log", "OFF")));
   }
 
-  /** Where a mutant lacks a guard. */
+  /** Creates the parts under test; a mutant removes one safeguard. */
   static class Mutant {
-    /** By this the members allow for clocks. */
+    /** The maximum clock error that the members assume. */
     double drift = DRIFT;
 
-    /** Whether a disk that was lost leaves the folder's name behind. */
+    /** Whether the store id survives the loss of a disk. */
     boolean lostDiskKeepsStoreId;
 
-    /** Whether a client that asks again numbers its command anew. */
+    /** Whether a client that repeats a command gives it a new origin. */
     boolean repeatsUseNewOrigin;
 
     UnaryOperator<Disk> disk = disk -> disk;
     SmallFeeds components = new SmallFeeds();
   }
 
-  /** Few entries are kept and pieces are small, so that snapshots are needed by who follows. */
+  /** Keeps few entries and sends small pieces, so that subscribers need snapshots. */
   static class SmallFeeds extends Components {
-    /** The indexes at which the record was told of an entry, which a change of voters is not. */
+    /** The indexes of entries that the record has applied; changes of voters are not among them. */
     private final TreeSet<Long> entries = new TreeSet<>();
 
     @Override
@@ -96,7 +96,7 @@
     }
   }
 
-  /** What one seed came to. */
+  /** The result of one seed; {@code violation} is null if every check passed. */
   record Outcome(
       long seed,
       String violation,
@@ -109,7 +109,7 @@
 
   private record Event(long time, long order, Process process, int life, Runnable action) {}
 
-  /** Something is wrong; the message says what. */
+  /** A violated invariant. */
   private static final class Violation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -160,7 +160,7 @@
     return new FleetSimulation(seed, members, voters, mutant).run();
   }
 
-  /** The first lines of what happened, for a person who replays a seed. */
+  /** Returns the beginning of the event log, for the analysis of a seed. */
   String log() {
     return log.toString();
   }
@@ -216,7 +216,7 @@
       try {
         event.action.run();
       } catch (SimDisk.PowerFailure e) {
-        // Its process is over; the engine catches what it throws, and we do not.
+        // The process has ended; the engine catches the exception, other code lets it pass to here.
       } catch (AssertionError | IllegalStateException | NullPointerException e) {
         throw new Violation((process == null ? "a client" : process.name) + " threw " + e);
       }
@@ -228,7 +228,7 @@
     now = end;
   }
 
-  /** Whoever holds by its own clock is there, by the newest of what was agreed. */
+  /** A member with a valid lease by its own clock must be active in the newest committed record. */
   private void check() {
     if (pendingViolation != null) {
       throw pendingViolation;
@@ -310,7 +310,8 @@
     }
   }
 
-  // Clients: one call at a time each, at a member by chance, and now and then again at another.
+  // Clients: each makes one call at a time, at a random member, and sometimes repeats it at
+  // another.
 
   private void client() {
     long again = now + (20 + random.nextInt(400)) * MS;
@@ -370,7 +371,7 @@
         };
     process.member.submit(new Command.Numbered(origin, 1, note), timeout).whenComplete(end);
     if (random.nextInt(3) == 0) {
-      // Somebody who has lost patience gives the same command to another member.
+      // A client that has waited too long submits the same command at another member.
       at(
           now + random.nextInt(1_500) * MS,
           null,
@@ -457,7 +458,7 @@
     }
   }
 
-  /** Aimed: whoever leads stands still past an election and wakes up while it still believes. */
+  /** Pauses the leader past an election, so that it resumes while it still believes to lead. */
   private void pauseLeader(long until) {
     Process leader = findLeader();
     if (leader != null) {
@@ -481,7 +482,7 @@
     }
   }
 
-  /** Aimed: cut off until about its term ends, while the leader is slow to hear of the others. */
+  /** Isolates a member until about the end of its lease, while links from the leader are slow. */
   private void isolateForAboutALease(Process process) {
     Process leader = findLeader();
     if (leader != null && leader != process) {
@@ -493,7 +494,10 @@
     }
   }
 
-  /** Aimed: whoever else could know what a voter's failing disk does not is cut off or stopped. */
+  /**
+   * Fails a voter's disk while the other members that could know the lost entries are cut off or
+   * paused.
+   */
   private void failDiskAndHideOutcome(Process process, long until) {
     Process leader = findLeader();
     if (leader == null || leader == process || !process.isVoter()) {
@@ -519,8 +523,9 @@
   }
 
   private void loseDisk(Process process) {
-    // One at a time, and once it is a voter again: a fleet that loses a majority's disks has lost
-    // the record.
+    // One disk at a time, and only after the member is a voter again: a fleet that loses the disks
+    // of
+    // a majority has lost the record.
     if (lostDisks > 0 || random.nextBoolean()) {
       return;
     }
@@ -541,7 +546,10 @@
     at(now + 4 * SECOND, null, () -> restoreVoter(process));
   }
 
-  /** An operator vouches for the end of the one before, and makes the new one a voter if it was. */
+  /**
+   * An operator confirms the end of the earlier process, and makes the new one a voter if the
+   * earlier one was.
+   */
   private void restoreVoter(Process process) {
     List<Process> up = processes.stream().filter(p -> p.member != null).toList();
     boolean back = process.member != null && process.member.hasJoined();
@@ -569,7 +577,7 @@
     }
   }
 
-  /** An operator makes one more a voter, or ends a vote. */
+  /** An operator adds or removes a voter. */
   private void changeVoters(Process process) {
     List<Process> up = processes.stream().filter(p -> p.member != null).toList();
     long votes = processes.stream().filter(Process::isVoter).count();
@@ -578,7 +586,7 @@
       return;
     }
     log((add ? "add voter " : "remove voter ") + process.name);
-    // Unless it is known to have none, it may have a vote.
+    // While the outcome is unknown, the member counts as a voter.
     process.votes = true;
     up.get(random.nextInt(up.size()))
         .member
@@ -631,7 +639,7 @@
     long lastArrival;
   }
 
-  /** A life of a process after the other, with a clock of its own. */
+  /** A process that may crash and restart, with its own clock. */
   private final class Process implements Turns {
     final String name;
     final Map<Process, Link> links = new HashMap<>();
@@ -745,7 +753,9 @@
       }
     }
 
-    /** Within the engine, which would catch what is thrown; it is thrown again behind it. */
+    /**
+     * Runs within the engine, which catches exceptions; {@link #check} throws the violation later.
+     */
     private void onChanged(int expectedLife) {
       try {
         checkAfterChange(expectedLife);
@@ -770,7 +780,8 @@
     }
 
     /**
-     * What it knows is the same as the record was there, never goes back, and is as new as said.
+     * The local copy must equal the record at its index, never go back, and be as current as
+     * claimed.
      */
     private void checkSubscribedRecord() {
       FleetRecord record = member.view().record();
@@ -798,7 +809,7 @@
     void crash() {
       life++;
       if (member != null) {
-        // Its end has no word for anybody: what is sent now goes nowhere.
+        // Packets that are sent while it stops are dropped, as in a crash.
         member.stop();
         member = null;
       }
@@ -838,7 +849,7 @@
       if (arrival > 0) {
         at(arrival, to, arrives);
       }
-      // What is fed may also come twice, out of order or not at all, as over several connections.
+      // Feed packets may be duplicated, reordered or lost, as over several connections.
       if (arrival > 0 && !healed && isFeedPacket(packet) && random.nextInt(10) == 0) {
         at(arrival + random.nextInt(700) * MS, to, arrives);
       }
@@ -850,7 +861,7 @@
       return start.contains(Feed.ENTRIES) || start.contains(Feed.PIECE);
     }
 
-    /** When what is sent now arrives; 0 for never. */
+    /** Returns when a packet that is sent now arrives; 0 if it is lost. */
     private long arrival(Link link) {
       boolean lossy = link.lossyUntil > now && random.nextInt(3) == 0;
       if (link.cutUntil > now || lossy) {
@@ -895,7 +906,7 @@
     }
   }
 
-  /** When the power fails within a call, the process is over, whatever the engine catches. */
+  /** Marks the process as ended when the power fails, even if the engine catches the exception. */
   private static final class PowerFailureDisk implements Disk {
     private final Process process;
     private final Disk disk;
--- a/src/test/java/hazelspoke/agreement/member/FleetSimulationTest.java
+++ b/src/test/java/hazelspoke/agreement/member/FleetSimulationTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Fleets of real members in virtual time, with faults drawn from seeds. {@code
- * -Dfleet.seeds=100000} plays more of them, {@code -Dfleet.members=100} larger ones, {@code
- * -Dfleet.first} others; {@code -Dfleet.mutants=300} says which of so many seeds find each mutant.
+ * Runs the fleet simulation with random faults. {@code -Dfleet.seeds=100000} runs more seeds,
+ * {@code -Dfleet.members=100} larger fleets, {@code -Dfleet.first} starts at another seed; {@code
+ * -Dfleet.mutants=300} prints which of the first 300 seeds find each mutant.
  */
 class FleetSimulationTest {
   private static Outcome run(long seed, int members, Mutant mutant) {
@@ -33,7 +33,7 @@
             .toList();
     assertThat(outcomes)
         .allSatisfy(o -> assertThat(o.violation()).as("seed %d", o.seed()).isNull());
-    // A play in which nothing is agreed on, or nobody ever loses the lead, shows nothing.
+    // Without entries, changes of the leader and changes of voters the runs would cover nothing.
     assertThat(outcomes.stream().mapToLong(Outcome::entries).sum()).isGreaterThan(20 * seeds);
     assertThat(outcomes.stream().mapToLong(Outcome::leaders).sum()).isGreaterThan(2 * seeds);
     assertThat(outcomes.stream().mapToLong(Outcome::changes).sum()).isGreaterThan(seeds / 3);
@@ -47,7 +47,7 @@
     }
   }
 
-  /** A fleet of a hundred that all start within half a second, and lose what faults take. */
+  /** A fleet of a hundred members that all start within half a second, with random faults. */
   @Test
   void hundredMembersRecoverFromFaults() {
     assertThat(run(1, 100, new Mutant()).violation()).isNull();
--- a/src/test/java/hazelspoke/agreement/member/Mutants.java
+++ b/src/test/java/hazelspoke/agreement/member/Mutants.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Fleets that lack one guard each. */
+/** Fleets that each lack one safeguard. */
 enum Mutants {
   REPORTS_SYNC_WITHOUT_SYNCING {
     @Override
@@ -87,7 +87,7 @@
               new Engine(setup) {
                 @Override
                 protected void storeFailed(IOException why) {
-                  // As the engine would have it by itself.
+                  // The engine continues, as MicroRaft would by itself.
                 }
               });
     }
@@ -206,14 +206,14 @@
   }
 
   /**
-   * Where the search begins. Whoever is found once in a thousand seeds is looked for near one that
-   * finds it: the engine of a fleet that lacks a guard may spin for ever, at other seeds.
+   * The first seed to try. A mutant that only one in a thousand seeds finds is searched near such a
+   * seed, as at other seeds the engine of a fleet without the safeguard may loop forever.
    */
   long firstSeed() {
     return 0;
   }
 
-  /** Of so many seeds one has to find it. */
+  /** The number of seeds of which at least one has to find the mutant. */
   long seedCount() {
     return 600;
   }
@@ -232,7 +232,7 @@
     return mutant;
   }
 
-  /** A disk whose syncs return at once. */
+  /** A disk whose file syncs do nothing. */
   private record UnsyncedDisk(Disk disk) implements Disk {
     @Override
     public Set<String> list() throws IOException {
--- a/src/test/java/hazelspoke/agreement/record/FleetRecordTest.java
+++ b/src/test/java/hazelspoke/agreement/record/FleetRecordTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What entries come to, one after the other. */
+/** Tests the state that results from applying commands in order. */
 class FleetRecordTest {
   private final FleetRecord record = new FleetRecord();
 
