--- a/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
+++ b/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
@@ -134,7 +134,7 @@
     Call call = new Call(fields, turns.nanos() + timeoutNanos);
     if (stopped || openCalls.size() >= MAX_OPEN_CALLS) {
       call.result.completeExceptionally(
-          new IllegalStateException(stopped ? "the member has stopped" : "too many calls"));
+          new IllegalStateException(stopped ? "the member has stopped" : "too many open calls"));
     } else {
       openCalls.add(call);
       attempt(++lastNumber, call);
@@ -151,7 +151,7 @@
       openCalls.remove(call);
       call.result.completeExceptionally(
           new IllegalStateException(
-              "no leader has answered; asked last: " + (call.target == null ? "-" : call.target)));
+              "no leader responded; last asked: " + (call.target == null ? "-" : call.target)));
       return;
     }
     call.attempts++;
--- a/src/main/java/hazelspoke/agreement/member/Leadership.java
+++ b/src/main/java/hazelspoke/agreement/member/Leadership.java
@@ -190,7 +190,7 @@
       throws MalformedException {
     Command.Numbered command = Command.Numbered.read(in.bytes("command"));
     if (!maySubmit(from, command.command())) {
-      throw new MalformedException(from + " may not give " + command.command());
+      throw new MalformedException(from + " may not submit " + command.command());
     }
     engine
         .propose(command)
--- a/src/main/java/hazelspoke/agreement/member/LocalSession.java
+++ b/src/main/java/hazelspoke/agreement/member/LocalSession.java
@@ -110,7 +110,7 @@
   CompletableFuture<CommandResult> submit(Command command, long timeoutNanos) {
     CompletableFuture<CommandResult> result = new CompletableFuture<>();
     if (pendingCommands.size() >= LeaderCalls.MAX_OPEN_CALLS) {
-      result.completeExceptionally(new IllegalStateException("too many commands wait"));
+      result.completeExceptionally(new IllegalStateException("too many pending commands"));
       return result;
     }
     Command.Numbered numbered = new Command.Numbered(origin(), ++lastNumber, command);
@@ -164,7 +164,7 @@
             }
             return CommandResult.read(r.fields().fields("answer"));
           } catch (MalformedException e) {
-            throw new IllegalStateException("unreadable answer: " + e.getMessage(), e);
+            throw new IllegalStateException("malformed result: " + e.getMessage(), e);
           }
         });
   }
--- a/src/main/java/hazelspoke/agreement/member/Member.java
+++ b/src/main/java/hazelspoke/agreement/member/Member.java
@@ -158,7 +158,7 @@
                   new EngineOwner()));
       leadership.start(engine, identity.founders());
     } catch (MalformedException e) {
-      throw new IOException("the store cannot be gone on from: " + e.getMessage(), e);
+      throw new IOException("the store cannot be restored: " + e.getMessage(), e);
     }
   }
 
@@ -386,7 +386,7 @@
                 replyReceived(reply);
                 return FleetRecord.read(reply.fields().bytes("state"));
               } catch (MalformedException e) {
-                throw new IllegalStateException("unreadable state: " + e.getMessage(), e);
+                throw new IllegalStateException("malformed state: " + e.getMessage(), e);
               }
             });
   }
--- a/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
+++ b/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
@@ -96,7 +96,7 @@
       return identity;
     }
     if (files.stream().anyMatch(f -> !f.equals(TEMP_FILE) && !f.startsWith(DAMAGED_PREFIX))) {
-      throw new MalformedException("the file " + FILE + " is gone");
+      throw new MalformedException("the file " + FILE + " is missing");
     }
     StoreIdentity created = new StoreIdentity(disk, fleet, member, randomId(random), List.of(), 1);
     created.write();
@@ -136,14 +136,14 @@
     int length = bytes.length - Integer.BYTES;
     if (length < 0
         || ByteBuffer.wrap(bytes, length, Integer.BYTES).getInt() != checksum(bytes, length)) {
-      throw new MalformedException("the file " + FILE + " is not what was written");
+      throw new MalformedException("the file " + FILE + " has a wrong checksum");
     }
     Fields in = Cbor.read(Arrays.copyOf(bytes, length));
     if (!in.text("fleet").equals(fleet) || !in.text("member").equals(member)) {
       throw new WrongDataDirectoryException(
-          "the data folder belongs to "
+          "the data directory belongs to member "
               + in.text("member")
-              + " of "
+              + " of fleet "
               + in.text("fleet"));
     }
     List<VoterId> founders = new ArrayList<>();
--- a/src/main/java/hazelspoke/agreement/member/VoterChanges.java
+++ b/src/main/java/hazelspoke/agreement/member/VoterChanges.java
@@ -101,7 +101,7 @@
   /** Fails all pending changes, as this member is no longer the leader. */
   void stop() {
     for (Invitee invitee : List.copyOf(invitees.values())) {
-      invitee.caughtUp.completeExceptionally(new IllegalStateException("leads no more"));
+      invitee.caughtUp.completeExceptionally(new IllegalStateException("no longer the leader"));
     }
   }
 
@@ -122,7 +122,7 @@
     List<VoterId> voters = engine.voters();
     long others = voters.stream().filter(v -> !v.member().equals(member)).count();
     if (add && (session == null || session.status() != Status.THERE)) {
-      return member + " is not there: a voter has to be, to be filled";
+      return member + " is not active: only an active member can become a voter";
     }
     if (add && others >= MAX_VOTERS) {
       return "there are " + MAX_VOTERS + " voters already";
@@ -184,7 +184,7 @@
       invitee.caughtUp.completeExceptionally(
           new NotCaughtUpException(
               invitee.voter.member()
-                  + " was not filled in time; it has no vote yet, ask again"));
+                  + " did not receive the record in time and has no vote yet; try again"));
       return;
     }
     Map<String, Object> out = Packets.ofKind(Packets.INVITE);
@@ -220,7 +220,7 @@
         .handOver(others.get(transfers++ % others.size()))
         .thenRun(
             () -> {
-              throw new IllegalStateException("leads no more");
+              throw new IllegalStateException("no longer the leader");
             });
   }
 
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulation.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulation.java
@@ -131,13 +131,13 @@
       runUntil(FAULTY_NANOS + FAULT_FREE_NANOS);
       for (Member member : members) {
         if (member.subscriber == null || member.subscriber.record().index() < log.size()) {
-          throw new Violation(member.name + " does not know all in the end");
+          throw new Violation(member.name + " lacks entries at the end");
         }
       }
     } catch (Violation e) {
       violation = e.getMessage();
     } catch (IllegalStateException | IndexOutOfBoundsException e) {
-      violation = "it threw " + e;
+      violation = "exception: " + e;
     }
     return new Outcome(violation, log.size(), snapshotPieces, switches, digest);
   }
@@ -228,7 +228,7 @@
     try {
       return Cbor.read(packet);
     } catch (MalformedException e) {
-      throw new Violation("a packet that is none: " + e.getMessage());
+      throw new Violation("malformed packet: " + e.getMessage());
     }
   }
 
@@ -362,7 +362,7 @@
       try {
         feed.follow(from, read(packet), reply -> send(member, member.lifeCount, reply));
       } catch (MalformedException e) {
-        throw new Violation("a call that is none: " + e.getMessage());
+        throw new Violation("malformed subscription: " + e.getMessage());
       }
     }
 
@@ -394,11 +394,11 @@
                   + settings.snapshotBytesPerSecond() / 20
                   + 2L * settings.pieceBytes();
           if (windowBytes > maxBytes) {
-            throw new Violation(name + " sent " + windowBytes + " bytes of snapshots in a second");
+            throw new Violation(name + " sent " + windowBytes + " snapshot bytes in a second");
           }
         }
       } catch (MalformedException e) {
-        throw new Violation("a packet that lacks something: " + e.getMessage());
+        throw new Violation("incomplete packet: " + e.getMessage());
       }
     }
   }
@@ -465,7 +465,7 @@
           subscriber.receivePiece(from, in);
         }
       } catch (MalformedException e) {
-        throw new Violation(name + " was sent what is malformed: " + e.getMessage());
+        throw new Violation(name + " received a malformed packet: " + e.getMessage());
       }
     }
 
@@ -502,7 +502,7 @@
       if (index != lastIndex) {
         if (index > log.size()
             || Arrays.hashCode(record.bytes()) != expectedHashes.get((int) index)) {
-          throw new Violation(name + " has another record up to " + index);
+          throw new Violation(name + " has a different record at index " + index);
         }
         digest = 31 * digest + index + now;
       }
@@ -512,14 +512,14 @@
       OptionalLong at = subscriber.currentAsOfNanos();
       if (at.isPresent() && committedIndexBefore(at.getAsLong()) > index) {
         throw new Violation(
-            name + " says it had all at " + at + ", and has " + index);
+            name + " claims to be complete as of " + at + " but has index " + index);
       }
       if (reportedIndex > lastIndex && now - reportedAt > MAX_LAG_NANOS) {
         throw new Violation(
             name
-                + " was told of "
+                + " was informed of index "
                 + reportedIndex
-                + " long ago and has "
+                + " too long ago and has "
                 + lastIndex);
       }
     }
--- a/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
+++ b/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
@@ -240,7 +240,7 @@
             || session.incarnation() != process.member.incarnation()
             || session.status() != Status.THERE) {
           throw new Violation(
-              process.name + " holds at " + now + " and the record says " + session);
+              process.name + " has a valid lease at " + now + " but the record has " + session);
         }
       }
     }
@@ -254,20 +254,20 @@
     long hash = Arrays.hashCode(record.bytes());
     Long before = recordHashes.putIfAbsent(record.index(), hash);
     if (before != null && before != hash) {
-      throw new Violation(process.name + " has another record up to " + record.index());
+      throw new Violation(process.name + " has a different record at index " + record.index());
     }
     if (record.index() > newestRecord.index()) {
       try {
         newestRecord = FleetRecord.read(record.bytes());
       } catch (MalformedException e) {
-        throw new Violation("not readable: " + e.getMessage());
+        throw new Violation("malformed record: " + e.getMessage());
       }
       for (Session session : newestRecord.sessions()) {
         Process owner = byName.get(session.member());
         if (session.status() == Status.REFUSED
             && owner.member != null
             && owner.member.incarnation() == session.incarnation()) {
-          throw new Violation(session + " counts as over, and runs");
+          throw new Violation(session + " counts as ended but runs");
         }
       }
       digest.update(Long.toString(hash + now).getBytes());
@@ -286,13 +286,13 @@
         throw new Violation(process.name + " is down at the end");
       }
       if (!process.member.hasValidLease()) {
-        throw new Violation(process.name + " does not hold at the end: " + process.lastEvent);
+        throw new Violation(process.name + " has no valid lease at the end: " + process.lastEvent);
       }
       long expectedIndex = committedIndexAt.floorEntry(now - 3 * SECOND).getValue();
       if (lacksEntry(process.member.view().record().index(), expectedIndex)) {
         throw new Violation(
             process.name
-                + " knows "
+                + " has index "
                 + process.member.view().record().index()
                 + " of "
                 + expectedIndex);
@@ -305,7 +305,7 @@
       }
       if (history.getValue().size() < MAX_CALLS
           && history.getValue().stream().noneMatch(c -> c.from() > FAULTY_NANOS && c.to() < now)) {
-        throw new Violation(history.getKey() + " was not answered after all was healed");
+        throw new Violation(history.getKey() + " had no successful call after the faults ended");
       }
     }
   }
@@ -774,7 +774,7 @@
         joined = true;
         if (member.view().record().index() < startIndex) {
           throw new Violation(
-              name + " joined with " + member.view().record().index() + " of " + startIndex);
+              name + " joined with index " + member.view().record().index() + " of " + startIndex);
         }
       }
     }
@@ -792,7 +792,7 @@
         subscribedIndex = record.index();
         Long hash = recordHashes.get(subscribedIndex);
         if (hash == null || hash != Arrays.hashCode(record.bytes())) {
-          throw new Violation(name + " follows another record up to " + subscribedIndex);
+          throw new Violation(name + " has a different copy at index " + subscribedIndex);
         }
       }
       OptionalLong at = member.view().currentAsOfNanos();
@@ -801,7 +801,7 @@
         Map.Entry<Long, Long> before = committedIndexAt.lowerEntry(then - 1);
         if (before != null && lacksEntry(subscribedIndex, before.getValue())) {
           throw new Violation(
-              name + " says it had all at " + then + ", and has " + subscribedIndex);
+              name + " claims to be complete as of " + then + " but has index " + subscribedIndex);
         }
       }
     }
--- a/src/test/java/hazelspoke/agreement/record/FleetRecordTest.java
+++ b/src/test/java/hazelspoke/agreement/record/FleetRecordTest.java
@@ -44,7 +44,7 @@
     assertThat(apply(new Join("g1", "home1", 11, "a:1")).reason()).contains("counts as over");
     assertThat(apply(new Join("g1", "home2", 12, "b:1")).number()).isEqualTo(8);
     assertThat(apply(new Join("g1", "home2", 13, "b:1")).number())
-        .as("another life in the same folder, which only one process uses")
+        .as("a later process with the same store, which only one process uses at a time")
         .isEqualTo(9);
   }
 
