--- a/src/main/java/hazelspoke/front/http/FirstBytes.java
+++ b/src/main/java/hazelspoke/front/http/FirstBytesHandler.java
@@ -3,17 +3,17 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Tells a connection that bytes have come before they are decoded: a head may take its time. */
-final class FirstBytes extends ChannelInboundHandlerAdapter {
+/** Notifies a connection of received bytes before they are decoded, as a head may arrive slowly. */
+final class FirstBytesHandler extends ChannelInboundHandlerAdapter {
   private final ClientConnection connection;
 
-  FirstBytes(ClientConnection connection) {
+  FirstBytesHandler(ClientConnection connection) {
     this.connection = connection;
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
-    connection.heard();
+    connection.bytesReceived();
     ctx.fireChannelRead(message);
   }
 }
--- a/src/test/java/hazelspoke/front/http/AcceptFailuresTest.java
+++ b/src/test/java/hazelspoke/front/http/AcceptFailuresTest.java
@@ -8,8 +8,8 @@
 import hazelspoke.core.Meter;
 import hazelspoke.core.Violations;
 import hazelspoke.net.EventLoops;
+import hazelspoke.net.SocketPolling;
 import hazelspoke.net.Transport;
-import hazelspoke.net.Turns;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -64,7 +64,7 @@
     assertThat(listener.config().isAutoRead()).isFalse();
     loop.schedule(() -> {}, WELL_WITHIN_A_SECOND_MS, TimeUnit.MILLISECONDS).sync();
     assertThat(listener.config().isAutoRead()).isTrue();
-    assertThat(text.toString()).contains("could not be let in");
+    assertThat(text.toString()).contains("cannot accept a client connection");
   }
 
   /** What has begun is answered; where nothing was asked an answer would be the next request's. */
@@ -93,7 +93,7 @@
           .next()
           .submit(
               () -> {
-                Turns.readPending(child);
+                SocketPolling.readPending(child);
                 child.pipeline().fireExceptionCaught(new IllegalStateException("a bug"));
               })
           .sync();
--- a/src/test/java/hazelspoke/node/ChurnTest.java
+++ b/src/test/java/hazelspoke/node/HostChurnTest.java
@@ -19,7 +19,7 @@
 import ternscale.api.Settings;
 
 /** Hosts that come and go, and gateways that do. */
-class ChurnTest {
+class HostChurnTest {
   @Test
   void poolsGoWithTheirHostsAndAnAddressHasOneHost() throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -39,9 +39,9 @@
         assertThat(displaced.startedAt()).isEqualTo(i - 1);
       }
       assertThat(hosts.setAddress(host("b5", 5), address)).isNull();
-      hosts.keepOnly(Set.of("b999"));
+      hosts.retainOnly(Set.of("b999"));
       assertThat(hosts.size()).isEqualTo(1);
-      hosts.forget("b999");
+      hosts.remove("b999");
       assertThat(hosts.size()).isZero();
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
@@ -61,7 +61,7 @@
                   if (head.contains("X-Hold")) {
                     held.await();
                   }
-                  return FakeServer.answer(out, FakeServer.ok("late"));
+                  return FakeServer.respond(out, FakeServer.ok("late"));
                 });
         FakeServer discovery = Rig.discovery(Rig.list(2, host));
         Rig rig = new Rig(160, discovery, host);
@@ -71,7 +71,7 @@
       assertThat(Rig.receive(resting)).endsWith("late");
       Rig.send(taken, Rig.dispatch(Rig.id(), "X-Hold: 1\r\n"));
       Rig.await("the request at the host", () -> host.heads.size() == 2);
-      Thread leaving = new Thread(rig::leave);
+      Thread leaving = new Thread(rig::shutDown);
       leaving.start();
       Rig.await("the leave", () -> rig.log.toString().contains("taking leave"));
       // A client goes on using its connection for as long as that stays open.
