--- a/src/main/java/hazelspoke/agreement/feed/Feed.java
+++ b/src/main/java/hazelspoke/agreement/feed/Feed.java
@@ -170,12 +170,12 @@
 
   private void flush() {
     isFlushScheduled = false;
-    long now = turns.nanos();
+    long nowNanos = turns.nanos();
     subscriptions
         .values()
         .removeIf(
             s ->
-                now - s.lastFollowNanos > EXPIRY_PERIODS * settings.followNanos()
+                nowNanos - s.lastFollowNanos > EXPIRY_PERIODS * settings.followNanos()
                     && cancelSnapshot(s));
     Map<Long, Batch> shared = new HashMap<>();
     for (Subscription subscription : subscriptions.values()) {
@@ -187,7 +187,7 @@
         }
       }
     }
-    sendPending(now);
+    sendPending(nowNanos);
   }
 
   private static boolean cancelSnapshot(Subscription subscription) {
@@ -297,9 +297,9 @@
   }
 
   /** Sends pieces round-robin, within the byte budget that has accrued since the last call. */
-  private void sendPending(long now) {
-    double elapsedSeconds = Math.max(0, now - budgetUpdatedNanos) / NANOS_PER_SECOND;
-    budgetUpdatedNanos = now;
+  private void sendPending(long nowNanos) {
+    double elapsedSeconds = Math.max(0, nowNanos - budgetUpdatedNanos) / NANOS_PER_SECOND;
+    budgetUpdatedNanos = nowNanos;
     double maxBudgetBytes =
         Math.max(
             settings.pieceBytes(),
--- a/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
+++ b/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
@@ -143,14 +143,14 @@
     if (stopped) {
       return;
     }
-    long now = turns.nanos();
+    long nowNanos = turns.nanos();
     boolean unresponsive = lastHeardNanos - lastFollowNanos < 0;
     LeaderReport oldest = pendingReports.peek();
     if (source == null || unresponsive || !voters.get().contains(source)) {
       // The first switch is random, so that the subscribers of a failed voter spread; after another
       // failure it goes to the leader that was heard last.
       switchTo(unresponsive && unresponsiveSources++ > 0 && !source.equals(leader) ? leader : null);
-    } else if (oldest != null && !isServed && isBehind(now - oldest.receivedNanos)) {
+    } else if (oldest != null && !isServed && isBehind(nowNanos - oldest.receivedNanos)) {
       owner.event("behind source=" + source + " known=" + record.index() + " of=" + oldest.index);
       switchTo(oldest.leader.equals(source) ? null : oldest.leader);
     } else {
--- a/src/main/java/hazelspoke/agreement/member/Components.java
+++ b/src/main/java/hazelspoke/agreement/member/Components.java
@@ -23,7 +23,7 @@
    * @param requestedNanos when the member requested the renewal
    * @param grantedNanos when the member learned that the renewal was granted
    */
-  long leaseExpiresAt(MemberSettings settings, long requestedNanos, long grantedNanos) {
+  long leaseExpiryNanos(MemberSettings settings, long requestedNanos, long grantedNanos) {
     return requestedNanos + (long) (settings.leaseNanos() * (1 - settings.drift()));
   }
 
--- a/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
+++ b/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
@@ -146,8 +146,8 @@
     if (stopped) {
       return;
     }
-    long now = turns.nanos();
-    if (now - call.deadlineNanos >= 0) {
+    long nowNanos = turns.nanos();
+    if (nowNanos - call.deadlineNanos >= 0) {
       openCalls.remove(call);
       call.result.completeExceptionally(
           new IllegalStateException(
@@ -155,7 +155,7 @@
       return;
     }
     call.attempts++;
-    call.sentNanos = now;
+    call.sentNanos = nowNanos;
     // All voters may have been replaced since the settings were written.
     List<String> candidates = call.attempts % ANY_MEMBER_EVERY == 0 ? members : voters;
     call.target = leader != null ? leader : candidates.get(random.nextInt(candidates.size()));
--- a/src/main/java/hazelspoke/agreement/member/LocalSession.java
+++ b/src/main/java/hazelspoke/agreement/member/LocalSession.java
@@ -47,7 +47,7 @@
   private final ArrayDeque<Runnable> pendingCommands = new ArrayDeque<>();
 
   /** When the lease expires by the local clock; valid only after the first renewal. */
-  private long leaseExpiresAt;
+  private long leaseExpiryNanos;
 
   private boolean wasRenewed;
   private boolean leaseWasValid;
@@ -91,7 +91,7 @@
   }
 
   boolean hasValidLease() {
-    return wasRenewed && !stopped && turns.nanos() - leaseExpiresAt < 0;
+    return wasRenewed && !stopped && turns.nanos() - leaseExpiryNanos < 0;
   }
 
   /** Returns the index that the local copy must reach to include the record as of the join. */
@@ -240,7 +240,7 @@
       return;
     }
     if (status.equals(Status.THERE.name())) {
-      leaseExpiresAt = components.leaseExpiresAt(settings, reply.sentNanos(), turns.nanos());
+      leaseExpiryNanos = components.leaseExpiryNanos(settings, reply.sentNanos(), turns.nanos());
       wasRenewed = true;
       if (!leaseWasValid && hasValidLease()) {
         leaseWasValid = true;
--- a/src/main/java/hazelspoke/agreement/member/SessionLeases.java
+++ b/src/main/java/hazelspoke/agreement/member/SessionLeases.java
@@ -15,7 +15,7 @@
  * stalled does not count.
  */
 class SessionLeases {
-  private record Lease(long incarnation, long sinceIndex, long expiresAt, boolean isLapsing) {}
+  private record Lease(long incarnation, long sinceIndex, long expiryNanos, boolean isLapsing) {}
 
   private final long durationNanos;
   private final long tickNanos;
@@ -32,18 +32,18 @@
   }
 
   /** Starts a leadership; every lease starts again at the next tick. */
-  void start(long now) {
+  void start(long nowNanos) {
     leases.clear();
-    lastTickNanos = now;
+    lastTickNanos = nowNanos;
   }
 
   /** Renews a lease, after a majority has confirmed the leadership. */
-  void renew(Session session, long now) {
-    leases.put(session.member(), newLease(session, now));
+  void renew(Session session, long nowNanos) {
+    leases.put(session.member(), newLease(session, nowNanos));
   }
 
-  private Lease newLease(Session session, long now) {
-    return new Lease(session.incarnation(), session.sinceIndex(), now + durationNanos, false);
+  private Lease newLease(Session session, long nowNanos) {
+    return new Lease(session.incarnation(), session.sinceIndex(), nowNanos + durationNanos, false);
   }
 
   /**
@@ -63,14 +63,15 @@
     if (isLapsing(session)) {
       Lease lease = leases.get(session.member());
       leases.put(
-          session.member(), new Lease(lease.incarnation, lease.sinceIndex, lease.expiresAt, false));
+          session.member(),
+          new Lease(lease.incarnation, lease.sinceIndex, lease.expiryNanos, false));
     }
   }
 
   /** Returns the sessions whose leases have expired; each is returned once. */
-  List<Session> tick(long now, Collection<Session> sessions) {
-    long stalledNanos = Math.max(0, now - lastTickNanos - 2 * tickNanos);
-    lastTickNanos = now;
+  List<Session> tick(long nowNanos, Collection<Session> sessions) {
+    long stalledNanos = Math.max(0, nowNanos - lastTickNanos - 2 * tickNanos);
+    lastTickNanos = nowNanos;
     List<Session> expired = new ArrayList<>();
     for (Session session : sessions) {
       Lease lease = leases.get(session.member());
@@ -79,12 +80,13 @@
       } else if (lease == null
           || lease.incarnation != session.incarnation()
           || lease.sinceIndex != session.sinceIndex()) {
-        leases.put(session.member(), newLease(session, now));
+        leases.put(session.member(), newLease(session, nowNanos));
       } else if (!lease.isLapsing) {
-        long expiresAt = lease.expiresAt + stalledNanos;
-        boolean isExpired = now - expiresAt >= 0;
+        long expiryNanos = lease.expiryNanos + stalledNanos;
+        boolean isExpired = nowNanos - expiryNanos >= 0;
         leases.put(
-            session.member(), new Lease(lease.incarnation, lease.sinceIndex, expiresAt, isExpired));
+            session.member(),
+            new Lease(lease.incarnation, lease.sinceIndex, expiryNanos, isExpired));
         if (isExpired) {
           expired.add(session);
         }
--- a/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
+++ b/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
@@ -43,7 +43,7 @@
 final class FleetSimulation {
   private static final long MS = 1_000_000;
   private static final long SECOND = 1_000 * MS;
-  static final long LEASE = 3 * SECOND;
+  static final long LEASE_NANOS = 3 * SECOND;
   static final double DRIFT = 0.05;
   private static final long FAULTY_NANOS = 25 * SECOND;
   private static final long FAULT_FREE_NANOS = 30 * SECOND;
@@ -486,7 +486,7 @@
   private void isolateForAboutALease(Process process) {
     Process leader = findLeader();
     if (leader != null && leader != process) {
-      long until = now + (long) (LEASE * (0.85 + 0.4 * random.nextDouble()));
+      long until = now + (long) (LEASE_NANOS * (0.85 + 0.4 * random.nextDouble()));
       isolate(process, until);
       for (Process other : processes) {
         leader.link(other).slowUntil = random.nextBoolean() ? until : 0;
@@ -693,7 +693,7 @@
               name,
               names,
               names.subList(0, voters),
-              LEASE,
+              LEASE_NANOS,
               mutant.drift,
               250 * MS,
               25,
--- a/src/test/java/hazelspoke/agreement/member/Mutants.java
+++ b/src/test/java/hazelspoke/agreement/member/Mutants.java
@@ -133,8 +133,8 @@
           setup ->
               new Engine(setup) {
                 @Override
-                protected boolean isLater(int heard) {
-                  return heard > term();
+                protected boolean isLater(int term) {
+                  return term > term();
                 }
               });
     }
@@ -193,8 +193,8 @@
       mutant.components =
           new FleetSimulation.SmallFeeds() {
             @Override
-            long leaseExpiresAt(MemberSettings settings, long requestedNanos, long grantedNanos) {
-              return super.leaseExpiresAt(settings, grantedNanos, grantedNanos);
+            long leaseExpiryNanos(MemberSettings settings, long requestedNanos, long grantedNanos) {
+              return super.leaseExpiryNanos(settings, grantedNanos, grantedNanos);
             }
           };
       return mutant;
