--- a/src/main/java/hazelspoke/agreement/feed/Feed.java
+++ b/src/main/java/hazelspoke/agreement/feed/Feed.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.feed;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.wire.Cbor;
 import hazelspoke.agreement.wire.Fields;
@@ -57,7 +57,7 @@
     private boolean isQueued;
   }
 
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final FeedSettings settings;
   private final Supplier<FleetRecord> record;
   private final Deque<KeptEntry> kept = new ArrayDeque<>();
@@ -87,11 +87,11 @@
    * @param record the applied record; older than the entries that were sent only while the engine
    *     catches up after a restart
    */
-  public Feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
-    this.turns = turns;
+  public Feed(Scheduler scheduler, FeedSettings settings, Supplier<FleetRecord> record) {
+    this.scheduler = scheduler;
     this.settings = settings;
     this.record = record;
-    budgetUpdatedNanos = turns.nanos();
+    budgetUpdatedNanos = scheduler.nanos();
   }
 
   /** Sends an applied entry; entries that are applied again after an engine restart are ignored. */
@@ -130,7 +130,7 @@
   public void follow(String from, Fields in, Consumer<byte[]> reply) throws MalformedException {
     long subscriberIndex = in.number("have");
     long snapshotIndex = in.number("of");
-    int offset = in.count("offset");
+    int offset = in.nonNegativeInt("offset");
     Subscription subscription = subscriptions.get(from);
     if (subscription == null) {
       if (subscriptions.size() >= MAX_SUBSCRIBERS) {
@@ -140,10 +140,10 @@
       subscriptions.put(from, subscription);
     }
     subscription.reply = reply;
-    subscription.lastFollowNanos = turns.nanos();
+    subscription.lastFollowNanos = scheduler.nanos();
     if (subscription.snapshot != null
         && subscription.snapshot.index == snapshotIndex
-        && !in.truth("again")) {
+        && !in.bool("again")) {
       reply.accept(piecePacket(subscription.snapshot, 0, 0));
       return;
     }
@@ -164,13 +164,13 @@
   private void flushSoon() {
     if (!isFlushScheduled) {
       isFlushScheduled = true;
-      turns.after(settings.flushNanos(), this::flush);
+      scheduler.schedule(settings.flushNanos(), this::flush);
     }
   }
 
   private void flush() {
     isFlushScheduled = false;
-    long nowNanos = turns.nanos();
+    long nowNanos = scheduler.nanos();
     subscriptions
         .values()
         .removeIf(
--- a/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
+++ b/src/main/java/hazelspoke/agreement/feed/FeedSubscriber.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.feed;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.wire.Cbor;
 import hazelspoke.agreement.wire.Fields;
@@ -49,7 +49,7 @@
   private record LeaderReport(String leader, long index, long requestedNanos, long receivedNanos) {}
 
   private final String self;
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Random random;
   private final FeedSettings settings;
   private final Supplier<List<String>> voters;
@@ -83,13 +83,13 @@
    */
   public FeedSubscriber(
       String self,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       FeedSettings settings,
       Supplier<List<String>> voters,
       Owner owner) {
     this.self = self;
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.random = random;
     this.settings = settings;
     this.voters = voters;
@@ -132,18 +132,19 @@
     if (pendingReports.size() == MAX_PENDING_REPORTS) {
       pendingReports.removeLast();
     }
-    pendingReports.add(new LeaderReport(leader, index, requestedNanos, turns.nanos()));
+    pendingReports.add(new LeaderReport(leader, index, requestedNanos, scheduler.nanos()));
   }
 
   private void scheduleTick() {
-    turns.after((long) (settings.followNanos() * (0.9 + 0.2 * random.nextDouble())), this::tick);
+    scheduler.schedule(
+        (long) (settings.followNanos() * (0.9 + 0.2 * random.nextDouble())), this::tick);
   }
 
   private void tick() {
     if (stopped) {
       return;
     }
-    long nowNanos = turns.nanos();
+    long nowNanos = scheduler.nanos();
     boolean unresponsive = lastHeardNanos - lastFollowNanos < 0;
     LeaderReport oldest = pendingReports.peek();
     if (source == null || unresponsive || !voters.get().contains(source)) {
@@ -180,7 +181,7 @@
     if (source == null) {
       return;
     }
-    lastFollowNanos = turns.nanos();
+    lastFollowNanos = scheduler.nanos();
     // Packets that arrive at the same clock reading count as received after the request.
     lastHeardNanos = lastFollowNanos - 1;
     isServed = false;
@@ -226,7 +227,7 @@
   }
 
   private void sourceResponded() {
-    lastHeardNanos = turns.nanos();
+    lastHeardNanos = scheduler.nanos();
     unresponsiveSources = 0;
   }
 
@@ -242,8 +243,8 @@
     }
     sourceResponded();
     long index = in.number("of");
-    int offset = in.count("offset");
-    int total = in.count("total");
+    int offset = in.nonNegativeInt("offset");
+    int total = in.nonNegativeInt("total");
     byte[] bytes = in.bytes("bytes");
     if (bytes.length == 0) {
       isServed = true;
--- a/src/main/java/hazelspoke/agreement/member/Bootstrap.java
+++ b/src/main/java/hazelspoke/agreement/member/Bootstrap.java
@@ -21,7 +21,7 @@
   Bootstrap(List<String> voters, VoterId self) {
     this.voters = voters;
     this.self = self;
-    storeIds.put(self.member(), self.home());
+    storeIds.put(self.member(), self.storeId());
   }
 
   /**
--- a/src/main/java/hazelspoke/agreement/member/Components.java
+++ b/src/main/java/hazelspoke/agreement/member/Components.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.engine.Engine;
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.feed.Feed;
 import hazelspoke.agreement.feed.FeedSettings;
 import hazelspoke.agreement.feed.FeedSubscriber;
@@ -49,18 +49,18 @@
     return FeedSettings.defaults(settings.heartbeatNanos());
   }
 
-  Feed feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
-    return new Feed(turns, settings, record);
+  Feed feed(Scheduler scheduler, FeedSettings settings, Supplier<FleetRecord> record) {
+    return new Feed(scheduler, settings, record);
   }
 
   FeedSubscriber subscriber(
       String self,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       FeedSettings settings,
       Supplier<List<String>> voters,
       FeedSubscriber.Owner owner) {
-    return new FeedSubscriber(self, turns, random, settings, voters, owner);
+    return new FeedSubscriber(self, scheduler, random, settings, voters, owner);
   }
 
   Engine engine(Engine.Setup setup) throws MalformedException {
--- a/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
+++ b/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.member;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.wire.Cbor;
 import hazelspoke.agreement.wire.Fields;
 import hazelspoke.agreement.wire.MalformedException;
@@ -60,7 +60,7 @@
 
   private final String self;
   private final Transport transport;
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Random random;
   private final long attemptTimeoutNanos;
 
@@ -82,14 +82,14 @@
   LeaderCalls(
       MemberSettings settings,
       Transport transport,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       long attemptTimeoutNanos) {
     self = settings.self();
     members = settings.members();
     voters = settings.voters();
     this.transport = transport;
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.random = random;
     this.attemptTimeoutNanos = attemptTimeoutNanos;
   }
@@ -131,7 +131,7 @@
    * @param timeoutNanos how long the call is attempted
    */
   CompletableFuture<Reply> call(Map<String, Object> fields, long timeoutNanos) {
-    Call call = new Call(fields, turns.nanos() + timeoutNanos);
+    Call call = new Call(fields, scheduler.nanos() + timeoutNanos);
     if (stopped || openCalls.size() >= MAX_OPEN_CALLS) {
       call.result.completeExceptionally(
           new IllegalStateException(stopped ? "the member has stopped" : "too many open calls"));
@@ -146,7 +146,7 @@
     if (stopped) {
       return;
     }
-    long nowNanos = turns.nanos();
+    long nowNanos = scheduler.nanos();
     if (nowNanos - call.deadlineNanos >= 0) {
       openCalls.remove(call);
       call.result.completeExceptionally(
@@ -164,7 +164,7 @@
     out.put("number", number);
     out.putAll(call.fields);
     transport.send(call.target, Cbor.write(out));
-    turns.after(attemptTimeoutNanos, () -> attemptTimedOut(number));
+    scheduler.schedule(attemptTimeoutNanos, () -> attemptTimedOut(number));
   }
 
   private void attemptTimedOut(long number) {
@@ -184,7 +184,7 @@
     // do not repeat at once.
     long maxDelayNanos =
         Math.min(attemptTimeoutNanos, (attemptTimeoutNanos / 16) << Math.min(6, call.attempts));
-    turns.after(
+    scheduler.schedule(
         1 + (long) (random.nextDouble() * maxDelayNanos), () -> attempt(++lastNumber, call));
   }
 
@@ -194,7 +194,7 @@
     if (call == null || !call.target.equals(from)) {
       return;
     }
-    Outcome outcome = in.one("outcome", Outcome.class);
+    Outcome outcome = in.enumValue("outcome", Outcome.class);
     String hint = in.has("leader") ? in.text("leader") : "";
     awaitingReply.remove(in.number("number"));
     switch (outcome) {
--- a/src/main/java/hazelspoke/agreement/member/Leadership.java
+++ b/src/main/java/hazelspoke/agreement/member/Leadership.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.engine.Engine;
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.engine.VoterId;
 import hazelspoke.agreement.record.Command;
 import hazelspoke.agreement.record.CommandResult;
@@ -30,7 +30,7 @@
   /** How many calls may wait for a confirmation; callers of further ones retry later. */
   private static final int MAX_UNCONFIRMED_CALLS = 4_096;
 
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Transport transport;
   private final Member.Listener listener;
   private final SessionLeases leases;
@@ -48,15 +48,15 @@
 
   Leadership(
       MemberSettings settings,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       Transport transport,
       Member.Listener listener,
       Components components) {
     this.transport = transport;
-    voterChanges = new VoterChanges(settings, random, turns, transport, components);
+    voterChanges = new VoterChanges(settings, random, scheduler, transport, components);
     refusalProvesEnd = settings.refusalProvesEnd();
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.listener = listener;
     tickNanos = Math.max(1, settings.leaseNanos() / 20);
     leases = components.leases(settings, tickNanos);
@@ -75,7 +75,7 @@
 
   void leadershipChanged(boolean isLeader) {
     if (isLeader) {
-      leases.start(turns.nanos());
+      leases.start(scheduler.nanos());
     } else {
       voterChanges.stop();
     }
@@ -95,14 +95,14 @@
       return;
     }
     if (isLeader()) {
-      for (Session session : leases.tick(turns.nanos(), engine.record().sessions())) {
+      for (Session session : leases.tick(scheduler.nanos(), engine.record().sessions())) {
         lapse(session);
       }
       if (refusalProvesEnd && ++ticks % PROBE_TICKS == 0) {
         probe();
       }
     }
-    turns.after(tickNanos, this::tick);
+    scheduler.schedule(tickNanos, this::tick);
   }
 
   /** Probes the ports of members with expired leases, where nothing listens after their end. */
@@ -124,7 +124,7 @@
   }
 
   private boolean isLeader() {
-    return engine != null && engine.leads();
+    return engine != null && engine.isLeader();
   }
 
   private void lapse(Session session) {
@@ -180,7 +180,7 @@
                 send.accept(LeaderCalls.Outcome.DONE);
               },
               send);
-      case "voter" -> changeVoter(in.truth("add"), in.text("member"), reply, send);
+      case "voter" -> changeVoter(in.bool("add"), in.text("member"), reply, send);
       default -> throw new MalformedException("unknown call " + in.text("call"));
     }
   }
@@ -237,7 +237,7 @@
         send.accept(LeaderCalls.Outcome.LATER);
         return;
       }
-      leases.renew(session, turns.nanos());
+      leases.renew(session, scheduler.nanos());
     }
     reply.put("standing", isCurrent ? session.status().name() : "");
     putIndex(reply);
@@ -251,7 +251,7 @@
    */
   private void putIndex(Map<String, Object> reply) {
     putVoters(reply);
-    reply.put("index", engine.applied());
+    reply.put("index", engine.appliedIndex());
   }
 
   private void putVoters(Map<String, Object> reply) {
@@ -310,7 +310,7 @@
     actionsOnConfirmed = new ArrayList<>();
     actionsOnFailure = new ArrayList<>();
     engine
-        .confirm()
+        .confirmLeadership()
         .whenComplete(
             (index, failure) -> {
               confirming = false;
--- a/src/main/java/hazelspoke/agreement/member/LocalSession.java
+++ b/src/main/java/hazelspoke/agreement/member/LocalSession.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.member;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.record.Command;
 import hazelspoke.agreement.record.CommandResult;
 import hazelspoke.agreement.record.Session.Status;
@@ -31,7 +31,7 @@
   private final MemberSettings settings;
   private final String storeId;
   private final LeaderCalls calls;
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Random random;
   private final ReplyObserver observer;
   private final Member.Listener listener;
@@ -57,7 +57,7 @@
       MemberSettings settings,
       StoreIdentity identity,
       LeaderCalls calls,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       ReplyObserver observer,
       Member.Listener listener,
@@ -67,7 +67,7 @@
     this.storeId = identity.storeId();
     sessionEpoch = identity.processEpoch() << PROCESS_EPOCH_SHIFT;
     this.calls = calls;
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.random = random;
     this.observer = observer;
     this.listener = listener;
@@ -79,7 +79,7 @@
     incarnation = 0;
     wasRenewed = false;
     // The delay is random, as the whole fleet may start at once.
-    turns.after(1 + (long) (random.nextDouble() * settings.heartbeatNanos()), this::join);
+    scheduler.schedule(1 + (long) (random.nextDouble() * settings.heartbeatNanos()), this::join);
   }
 
   void stop() {
@@ -91,7 +91,7 @@
   }
 
   boolean hasValidLease() {
-    return wasRenewed && !stopped && turns.nanos() - leaseExpiryNanos < 0;
+    return wasRenewed && !stopped && scheduler.nanos() - leaseExpiryNanos < 0;
   }
 
   /** Returns the index that the local copy must reach to include the record as of the join. */
@@ -197,7 +197,7 @@
                 renew();
               } else {
                 listener.event("refused why=\"" + result.reason() + "\"");
-                turns.after(settings.leaseNanos() / RENEWALS_PER_LEASE, this::start);
+                scheduler.schedule(settings.leaseNanos() / RENEWALS_PER_LEASE, this::start);
               }
             });
   }
@@ -240,7 +240,8 @@
       return;
     }
     if (status.equals(Status.THERE.name())) {
-      leaseExpiryNanos = components.leaseExpiryNanos(settings, reply.sentNanos(), turns.nanos());
+      leaseExpiryNanos =
+          components.leaseExpiryNanos(settings, reply.sentNanos(), scheduler.nanos());
       wasRenewed = true;
       if (!leaseWasValid && hasValidLease()) {
         leaseWasValid = true;
@@ -258,7 +259,7 @@
 
   private void scheduleNext(Runnable action) {
     double jitter = 0.9 + 0.2 * random.nextDouble();
-    turns.after((long) (settings.leaseNanos() / RENEWALS_PER_LEASE * jitter), action);
+    scheduler.schedule((long) (settings.leaseNanos() / RENEWALS_PER_LEASE * jitter), action);
   }
 
   CompletableFuture<CommandResult> leave(long timeoutNanos) {
--- a/src/main/java/hazelspoke/agreement/member/Member.java
+++ b/src/main/java/hazelspoke/agreement/member/Member.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.engine.Engine;
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.engine.VoterId;
 import hazelspoke.agreement.feed.Feed;
 import hazelspoke.agreement.feed.FeedSettings;
@@ -44,7 +44,7 @@
   private static final int WHO_REQUESTS_PER_EVENT = 20;
 
   private final MemberSettings settings;
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Random random;
   private final Transport transport;
   private final Disk disk;
@@ -74,18 +74,18 @@
   public Member(
       MemberSettings settings,
       Disk disk,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       Transport transport,
       Listener listener)
       throws IOException, WrongDataDirectoryException {
-    this(settings, disk, turns, random, transport, listener, new Components());
+    this(settings, disk, scheduler, random, transport, listener, new Components());
   }
 
   Member(
       MemberSettings settings,
       Disk disk,
-      Turns turns,
+      Scheduler scheduler,
       Random random,
       Transport transport,
       Listener listener,
@@ -94,7 +94,7 @@
     this.settings = settings;
     this.components = components;
     this.disk = disk;
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.random = random;
     this.transport = transport;
     this.listener = listener;
@@ -107,16 +107,23 @@
       identity = StoreIdentity.replace(disk, settings.fleet(), settings.self(), random);
     }
     long attemptTimeoutNanos = 4 * settings.heartbeatNanos();
-    calls = new LeaderCalls(settings, transport, turns, random, attemptTimeoutNanos);
+    calls = new LeaderCalls(settings, transport, scheduler, random, attemptTimeoutNanos);
     session =
         new LocalSession(
-            settings, identity, calls, turns, random, this::replyReceived, listener, components);
+            settings,
+            identity,
+            calls,
+            scheduler,
+            random,
+            this::replyReceived,
+            listener,
+            components);
     FeedSettings feedSettings = components.feedSettings(settings);
-    feed = components.feed(turns, feedSettings, () -> engine.record());
+    feed = components.feed(scheduler, feedSettings, () -> engine.record());
     subscriber =
         components.subscriber(
-            settings.self(), turns, random, feedSettings, calls::voters, new SubscriberOwner());
-    leadership = new Leadership(settings, turns, random, transport, listener, components);
+            settings.self(), scheduler, random, feedSettings, calls::voters, new SubscriberOwner());
+    leadership = new Leadership(settings, scheduler, random, transport, listener, components);
     if (!identity.founders().isEmpty()) {
       startEngine();
       restartIfStuck();
@@ -132,11 +139,11 @@
 
   private void openStore() throws IOException, StoreDamagedException, MalformedException {
     if (!identity.founders().isEmpty()) {
-      if (!RecordStore.isIn(disk)) {
+      if (!RecordStore.existsIn(disk)) {
         throw new MalformedException("all segments are missing");
       }
       store = RecordStore.open(disk);
-      long cut = store.recovered().cutBytes();
+      long cut = store.recovered().truncatedBytes();
       if (cut > 0) {
         listener.event("cut torn_bytes=" + cut);
       }
@@ -152,8 +159,8 @@
                   identity.voterId(),
                   identity.founders(),
                   store,
-                  new Engine.Pace(settings.heartbeatNanos(), settings.snapshotEvery()),
-                  turns,
+                  new Engine.Parameters(settings.heartbeatNanos(), settings.snapshotEvery()),
+                  scheduler,
                   random,
                   new EngineOwner()));
       leadership.start(engine, identity.founders());
@@ -177,15 +184,15 @@
     boolean isRemoved = !calls.voters().contains(settings.self());
     int restartHeartbeats =
         components.heartbeatsBeforeRestart() * (isRemoved ? REMOVED_RESTART_FACTOR : 1);
-    long leaderSilentNanos = turns.nanos() - engine.leaderHeardAt();
-    if (!engine.leads()
+    long leaderSilentNanos = scheduler.nanos() - engine.lastLeaderContactNanos();
+    if (!engine.isLeader()
         && leaderSilentNanos > restartHeartbeats * settings.heartbeatNanos()
         && engine.voters().contains(identity.voterId())) {
       listener.event("restarts engine leader_silent_ms=" + leaderSilentNanos / 1_000_000);
       restartEngine();
     }
     // The check interval does not depend on the removal, as the member may become a voter again.
-    turns.after(
+    scheduler.schedule(
         (long)
             (settings.heartbeatNanos()
                 * components.heartbeatsBeforeRestart()
@@ -222,7 +229,7 @@
     if (++whoRequests % WHO_REQUESTS_PER_EVENT == 0) {
       listener.event("waits for=founding missing=" + bootstrap.missing());
     }
-    turns.after(
+    scheduler.schedule(
         settings.heartbeatNanos() + (long) (random.nextDouble() * settings.heartbeatNanos()),
         this::askWho);
   }
@@ -277,7 +284,7 @@
 
   private void handleRaft(String from, Fields in) throws MalformedException {
     // Messages for an earlier voter id of this member are dropped.
-    if (engine != null && in.text("to").equals(identity.voterId().home())) {
+    if (engine != null && in.text("to").equals(identity.voterId().storeId())) {
       engine.handle(from, in.bytes("message"));
     }
   }
@@ -414,7 +421,7 @@
 
   /** Whether this member is the leader, as far as it knows. */
   public boolean isLeader() {
-    return engine != null && engine.leads();
+    return engine != null && engine.isLeader();
   }
 
   /** Returns the record that the engine has applied, or null without an engine; for tests. */
@@ -451,7 +458,7 @@
       engine.stop();
     }
     // The store is closed after the engine, which stops in an event-loop iteration of its own.
-    turns.execute(this::closeStore);
+    scheduler.execute(this::closeStore);
   }
 
   private void closeStore() {
@@ -484,40 +491,40 @@
   private final class EngineOwner implements Engine.Owner {
     @Override
     public void send(VoterId to, byte[] message) {
-      transport.send(to.member(), Packets.raft(to.home(), message));
+      transport.send(to.member(), Packets.raft(to.storeId(), message));
     }
 
     @Override
-    public void applied(long index, byte[] entry) {
+    public void entryApplied(long index, byte[] entry) {
       feed.applied(index, entry);
       leadership.applied();
     }
 
     @Override
-    public void installed(long index) {
+    public void snapshotInstalled(long index) {
       feed.installed(index);
       leadership.applied();
     }
 
     @Override
-    public void leads(boolean leads, int term) {
-      listener.event((leads ? "leads" : "follows") + " term=" + term);
-      leadership.leadershipChanged(leads);
-      if (leads) {
+    public void leadershipChanged(boolean isLeader, int term) {
+      listener.event((isLeader ? "leads" : "follows") + " term=" + term);
+      leadership.leadershipChanged(isLeader);
+      if (isLeader) {
         calls.setLeader(settings.self());
       }
     }
 
     @Override
-    public void parted(String why) {
-      listener.event("restarts engine why=\"" + why + "\"");
+    public void restartRequired(String reason) {
+      listener.event("restarts engine why=\"" + reason + "\"");
       leadership.leadershipChanged(false);
       // The restart is delayed, as the cause may occur again.
-      turns.after(settings.heartbeatNanos(), Member.this::restartEngine);
+      scheduler.schedule(settings.heartbeatNanos(), Member.this::restartEngine);
     }
 
     @Override
-    public void failed(IOException cause) {
+    public void storeFailed(IOException cause) {
       Member.this.diskFailed(cause);
     }
   }
--- a/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
+++ b/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
@@ -114,14 +114,14 @@
     // The identity is renamed first: without it, no other file is ever read again.
     if (disk.list().contains(FILE)) {
       disk.rename(FILE, DAMAGED_PREFIX + FILE);
-      disk.syncFolder();
+      disk.syncDirectory();
     }
     for (String file : disk.list()) {
       if (!file.startsWith(DAMAGED_PREFIX)) {
         disk.rename(file, DAMAGED_PREFIX + file);
       }
     }
-    disk.syncFolder();
+    disk.syncDirectory();
     StoreIdentity created = new StoreIdentity(disk, fleet, member, randomId(random), List.of(), 1);
     created.write();
     return created;
@@ -180,7 +180,7 @@
       file.sync();
     }
     disk.rename(TEMP_FILE, FILE);
-    disk.syncFolder();
+    disk.syncDirectory();
   }
 
   String storeId() {
--- a/src/main/java/hazelspoke/agreement/member/VoterChanges.java
+++ b/src/main/java/hazelspoke/agreement/member/VoterChanges.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.member;
 
 import hazelspoke.agreement.engine.Engine;
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.engine.VoterId;
 import hazelspoke.agreement.record.Session;
 import hazelspoke.agreement.record.Session.Status;
@@ -60,7 +60,7 @@
   /** More voters would slow down every entry without a useful gain in fault tolerance. */
   private static final int MAX_VOTERS = 7;
 
-  private final Turns turns;
+  private final Scheduler scheduler;
   private final Transport transport;
 
   /** The interval between two invitations. */
@@ -80,7 +80,7 @@
   VoterChanges(
       MemberSettings settings,
       Random random,
-      Turns turns,
+      Scheduler scheduler,
       Transport transport,
       Components components) {
     self = settings.self();
@@ -88,7 +88,7 @@
     catchUpTimeoutNanos = CATCH_UP_LEASES * settings.leaseNanos();
     this.components = components;
     this.random = random;
-    this.turns = turns;
+    this.scheduler = scheduler;
     this.transport = transport;
   }
 
@@ -154,15 +154,15 @@
     invitees.put(member, invitee);
     invitee.added =
         engine
-            .learn(voter)
+            .addLearner(voter)
             .thenCompose(
                 entry -> {
                   invitee.invitation =
-                      new StoreIdentity.Invitation(voter.home(), engine.term(), entry);
+                      new StoreIdentity.Invitation(voter.storeId(), engine.term(), entry);
                   // The record counts applied entries; a change of voters, such as this one, is
                   // none.
                   invitee.requiredIndex = engine.record().index();
-                  invite(invitee, turns.nanos() + catchUpTimeoutNanos);
+                  invite(invitee, scheduler.nanos() + catchUpTimeoutNanos);
                   return invitee.caughtUp;
                 })
             .thenCompose(x -> removeOthers(member, voter))
@@ -173,14 +173,15 @@
 
   /** A founder votes under its store id, any later voter under the store id with a suffix. */
   private static boolean belongsTo(VoterId voter, String storeId) {
-    return voter.home().equals(storeId) || voter.home().startsWith(storeId + VOTER_ID_SEPARATOR);
+    return voter.storeId().equals(storeId)
+        || voter.storeId().startsWith(storeId + VOTER_ID_SEPARATOR);
   }
 
   private void invite(Invitee invitee, long deadlineNanos) {
     if (invitee.caughtUp.isDone()) {
       return;
     }
-    if (turns.nanos() - deadlineNanos >= 0) {
+    if (scheduler.nanos() - deadlineNanos >= 0) {
       invitee.caughtUp.completeExceptionally(
           new NotCaughtUpException(
               invitee.voter.member()
@@ -192,7 +193,7 @@
     out.put("founders", founders.stream().map(VoterId::toString).toList());
     invitee.invitation.write(out);
     transport.send(invitee.voter.member(), Cbor.write(out));
-    turns.after(inviteIntervalNanos, () -> invite(invitee, deadlineNanos));
+    scheduler.schedule(inviteIntervalNanos, () -> invite(invitee, deadlineNanos));
   }
 
   /** Handles a member's report of the index up to which it has the record. */
@@ -217,7 +218,7 @@
     List<VoterId> others =
         engine.voters().stream().filter(v -> !v.member().equals(member)).toList();
     return engine
-        .handOver(others.get(transfers++ % others.size()))
+        .transferLeadership(others.get(transfers++ % others.size()))
         .thenRun(
             () -> {
               throw new IllegalStateException("no longer the leader");
@@ -226,7 +227,7 @@
 
   private CompletableFuture<Void> removeOthers(String member, VoterId kept) {
     CompletableFuture<Void> change = CompletableFuture.completedFuture(null);
-    for (VoterId voter : engine.filled()) {
+    for (VoterId voter : engine.votersAndLearners()) {
       if (voter.member().equals(member) && !voter.equals(kept)) {
         change = change.thenCompose(x -> engine.remove(voter));
       }
--- a/src/main/java/hazelspoke/agreement/record/CommandResult.java
+++ b/src/main/java/hazelspoke/agreement/record/CommandResult.java
@@ -37,6 +37,6 @@
    * @throws MalformedException if a field is missing or has another type
    */
   public static CommandResult read(Fields in) throws MalformedException {
-    return new CommandResult(in.truth("done"), in.number("number"), in.text("why"));
+    return new CommandResult(in.bool("done"), in.number("number"), in.text("why"));
   }
 }
--- a/src/main/java/hazelspoke/core/LoadProbe.java
+++ b/src/main/java/hazelspoke/core/LoadProbe.java
@@ -2,14 +2,14 @@
 
 import ternscale.api.Outcome.Result;
 
-/** Asks a host for its load, once; on the loop. */
-final class LoadProbe extends Deadlines.Entry implements HostCall {
-  /** Told once how the probe ended. */
+/** Requests a host's load report once. Confined to the event loop. */
+final class LoadProbe extends DeadlineQueue.Entry implements HostCall {
+  /** Notified once of the end of the probe. */
   interface Listener {
     /**
-     * The probe ended.
+     * The probe has ended.
      *
-     * @param loadReport the report as text, empty when none came
+     * @param loadReport the report as text, empty if none was received
      */
     void onProbeEnded(LoadProbe probe, Result result, String loadReport);
   }
@@ -19,19 +19,19 @@
   private final CoreServices services;
   private final Listener listener;
   private final String host;
-  private final double startedAt;
-  private HostTransport.CallHandle ticket;
-  private boolean over;
+  private final double startedAtMs;
+  private HostTransport.CallHandle callHandle;
+  private boolean ended;
 
   LoadProbe(CoreServices services, Listener listener, String host) {
     this.services = services;
     this.listener = listener;
     this.host = host;
-    startedAt = services.clock().nowMs();
+    startedAtMs = services.clock().nowMs();
   }
 
   void start() {
-    ticket = services.hosts().start(host, this);
+    callHandle = services.hosts().start(host, this);
     services.timers().add(this, TIMEOUT_MS);
   }
 
@@ -39,14 +39,14 @@
     return host;
   }
 
-  /** Since its start, in milliseconds. */
+  /** The time since the start, in milliseconds. */
   double elapsedMs() {
-    return services.clock().nowMs() - startedAt;
+    return services.clock().nowMs() - startedAtMs;
   }
 
   @Override
-  void due() {
-    ticket.cancel();
+  void onDue() {
+    callHandle.cancel();
     end(Result.TIMEOUT, "");
   }
 
@@ -74,9 +74,9 @@
   public void onSent() {}
 
   @Override
-  public void onAnswer(Metadata metadata, String loadReport, Body answer, ByteBudget.Share share) {
+  public void onAnswer(Metadata metadata, String loadReport, Body body, ByteBudget.Share share) {
     share.release();
-    answer.abandon();
+    body.abandon();
     end(Result.OK, loadReport);
   }
 
@@ -86,8 +86,8 @@
   }
 
   private void end(Result result, String loadReport) {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       services.timers().remove(this);
       listener.onProbeEnded(this, result, loadReport);
     }
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulation.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulation.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.feed;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.record.Command;
 import hazelspoke.agreement.record.FleetRecord;
 import hazelspoke.agreement.wire.Cbor;
@@ -44,18 +44,18 @@
     /** Whether a deposed voter sends an entry that was never committed. */
     boolean sendsUncommittedEntries;
 
-    Feed feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
-      return new Feed(turns, settings, record);
+    Feed feed(Scheduler scheduler, FeedSettings settings, Supplier<FleetRecord> record) {
+      return new Feed(scheduler, settings, record);
     }
 
     FeedSubscriber subscriber(
         String self,
-        Turns turns,
+        Scheduler scheduler,
         Random random,
         FeedSettings settings,
         Supplier<List<String>> voters,
         FeedSubscriber.Owner owner) {
-      return new FeedSubscriber(self, turns, random, settings, voters, owner);
+      return new FeedSubscriber(self, scheduler, random, settings, voters, owner);
     }
   }
 
@@ -233,7 +233,7 @@
   }
 
   /** One run of a process; its scheduled tasks are dropped when it ends. */
-  private final class ProcessLife implements Turns {
+  private final class ProcessLife implements Scheduler {
     private boolean ended;
 
     @Override
@@ -243,11 +243,11 @@
 
     @Override
     public void execute(Runnable action) {
-      after(0, action);
+      schedule(0, action);
     }
 
     @Override
-    public void after(long nanos, Runnable action) {
+    public void schedule(long nanos, Runnable action) {
       at(
           now + nanos,
           () -> {
@@ -329,7 +329,7 @@
     }
 
     void scheduleApply() {
-      life.after(random.nextInt(60) * MS, this::apply);
+      life.schedule(random.nextInt(60) * MS, this::apply);
     }
 
     private void apply() {
@@ -343,7 +343,7 @@
           record.applyEntry(index, uncommitted);
           feed.applied(index, uncommitted);
         }
-        life.after(resumesAt - now, this::apply);
+        life.schedule(resumesAt - now, this::apply);
         return;
       }
       while (record.index() < log.size()) {
@@ -428,7 +428,7 @@
       subscriber =
           mutant.subscriber(name, life, new Random(random.nextLong()), settings, () -> names, this);
       subscriber.start();
-      life.after(random.nextInt(2_500) * MS, this::renewed);
+      life.schedule(random.nextInt(2_500) * MS, this::renewed);
     }
 
     void end() {
@@ -443,7 +443,7 @@
     private void renewed() {
       long askedAt = now;
       long index = log.size();
-      life.after(
+      life.schedule(
           (1 + random.nextInt(20)) * MS,
           () -> {
             subscriber.leaderReported("v" + (VOTER_COUNT - 1), index, askedAt);
@@ -452,7 +452,7 @@
               reportedAt = now;
             }
           });
-      life.after(2_250 * MS + random.nextInt(500) * MS, this::renewed);
+      life.schedule(2_250 * MS + random.nextInt(500) * MS, this::renewed);
       check();
     }
 
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.feed.FeedSimulation.Mutant;
 import hazelspoke.agreement.feed.FeedSimulation.Outcome;
 import hazelspoke.agreement.record.FleetRecord;
@@ -30,12 +30,12 @@
           @Override
           FeedSubscriber subscriber(
               String self,
-              Turns turns,
+              Scheduler scheduler,
               Random random,
               FeedSettings settings,
               Supplier<List<String>> voters,
               FeedSubscriber.Owner owner) {
-            return new FeedSubscriber(self, turns, random, settings, voters, owner) {
+            return new FeedSubscriber(self, scheduler, random, settings, voters, owner) {
               @Override
               protected boolean hasAllUpTo(long previous) {
                 return true;
@@ -52,12 +52,12 @@
           @Override
           FeedSubscriber subscriber(
               String self,
-              Turns turns,
+              Scheduler scheduler,
               Random random,
               FeedSettings settings,
               Supplier<List<String>> voters,
               FeedSubscriber.Owner owner) {
-            return new FeedSubscriber(self, turns, random, settings, voters, owner) {
+            return new FeedSubscriber(self, scheduler, random, settings, voters, owner) {
               @Override
               protected boolean isBehind(long overdueNanos) {
                 return false;
@@ -80,8 +80,8 @@
       Mutant make() {
         return new Mutant() {
           @Override
-          Feed feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
-            return new Feed(turns, settings, record) {
+          Feed feed(Scheduler scheduler, FeedSettings settings, Supplier<FleetRecord> record) {
+            return new Feed(scheduler, settings, record) {
               private byte[] previous = {};
 
               @Override
@@ -101,8 +101,8 @@
       Mutant make() {
         return new Mutant() {
           @Override
-          Feed feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
-            return new Feed(turns, settings, record) {
+          Feed feed(Scheduler scheduler, FeedSettings settings, Supplier<FleetRecord> record) {
+            return new Feed(scheduler, settings, record) {
               @Override
               protected boolean maySend(double budgetBytes) {
                 return true;
--- a/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
+++ b/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
@@ -1,6 +1,6 @@
 package hazelspoke.agreement.member;
 
-import hazelspoke.agreement.engine.Turns;
+import hazelspoke.agreement.engine.Scheduler;
 import hazelspoke.agreement.feed.Feed;
 import hazelspoke.agreement.feed.FeedSettings;
 import hazelspoke.agreement.record.Command;
@@ -80,8 +80,8 @@
     private final TreeSet<Long> entries = new TreeSet<>();
 
     @Override
-    Feed feed(Turns turns, FeedSettings settings, Supplier<FleetRecord> record) {
-      return new Feed(turns, settings, record) {
+    Feed feed(Scheduler scheduler, FeedSettings settings, Supplier<FleetRecord> record) {
+      return new Feed(scheduler, settings, record) {
         @Override
         public void applied(long index, byte[] entry) {
           super.applied(index, entry);
@@ -640,7 +640,7 @@
   }
 
   /** A process that may crash and restart, with its own clock. */
-  private final class Process implements Turns {
+  private final class Process implements Scheduler {
     final String name;
     final Map<Process, Link> links = new HashMap<>();
     final double rate;
@@ -901,7 +901,7 @@
     }
 
     @Override
-    public void after(long nanos, Runnable action) {
+    public void schedule(long nanos, Runnable action) {
       at(now + (long) (Math.max(0, nanos) / rate), this, action);
     }
   }
@@ -987,10 +987,10 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
+    public void syncDirectory() throws IOException {
       run(
           () -> {
-            disk.syncFolder();
+            disk.syncDirectory();
             return null;
           });
     }
