--- a/src/main/java/hazelspoke/agreement/member/Bootstrap.java
+++ b/src/main/java/hazelspoke/agreement/member/Bootstrap.java
@@ -7,44 +7,45 @@
 import java.util.Map;
 
 /**
- * How a record begins, once: the first voter of the list waits until it has heard of the folder of
- * each, all of them new, and writes down whose votes count at the beginning. The others take that
- * over from anybody who has it. Who finds a record founded with another folder under its name does
- * not vote; it waits to be made a voter, as its first folder may have voted.
+ * Creates the record, once. The first voter of the list waits until it knows the store id of every
+ * voter, all of them with new stores, and writes down the initial voters, the founders. The others
+ * take the founders over from any voter that has them. A voter that finds another store id under
+ * its name among the founders does not vote, as its earlier store may have voted; it waits until it
+ * is made a voter.
  */
 final class Bootstrap {
   private final List<String> voters;
   private final VoterId self;
-  private final Map<String, String> heard = new HashMap<>();
+  private final Map<String, String> storeIds = new HashMap<>();
 
   Bootstrap(List<String> voters, VoterId self) {
     this.voters = voters;
     this.self = self;
-    heard.put(self.member(), self.storeId());
+    storeIds.put(self.member(), self.storeId());
   }
 
   /**
-   * Hears of a voter whose folder knows of no record.
+   * Registers a voter whose store has no record.
    *
-   * @return the founders, if they are to be written down now; else empty
+   * @return the founders if they are complete and this member writes them down; else empty
    */
-  List<VoterId> heardNew(String member, String home) {
-    heard.put(member, home);
-    if (!voters.get(0).equals(self.member()) || !heard.keySet().containsAll(voters)) {
+  List<VoterId> learnNewVoter(String member, String storeId) {
+    storeIds.put(member, storeId);
+    if (!voters.get(0).equals(self.member()) || !storeIds.keySet().containsAll(voters)) {
       return List.of();
     }
     List<VoterId> founders = new ArrayList<>();
     for (String voter : voters) {
-      founders.add(new VoterId(voter, heard.get(voter)));
+      founders.add(new VoterId(voter, storeIds.get(voter)));
     }
     return founders;
   }
 
-  /** Whom the first voter has not heard of; for the others the first voter. */
+  /** Returns the voters that the first voter still waits for; for others, the first voter. */
   List<String> missing() {
     if (!voters.get(0).equals(self.member())) {
       return voters.subList(0, 1);
     }
-    return voters.stream().filter(v -> !heard.containsKey(v)).toList();
+    return voters.stream().filter(v -> !storeIds.containsKey(v)).toList();
   }
 }
--- a/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
+++ b/src/main/java/hazelspoke/agreement/member/LeaderCalls.java
@@ -14,99 +14,99 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The way in from any member to whoever leads. A call goes to the leader that was last heard of,
- * else to a voter by chance; who is asked and does not lead names whom it takes for the leader. A
- * call whose answer does not come is made again, elsewhere, until it is given up.
+ * Calls from this member to the leader. A call goes to the last known leader, else to a random
+ * voter; a member that is not the leader replies with the name of the leader that it knows. A call
+ * without a reply is repeated, elsewhere, until its deadline.
  */
 final class LeaderCalls {
-  /** So many calls may be under way; further ones fail at once. */
-  static final int MOST = 256;
+  /** The maximum number of open calls; further calls fail at once. */
+  static final int MAX_OPEN_CALLS = 256;
 
-  /** Where nobody is known to lead, each so many attempts go to any member, voter or not. */
-  private static final int ANYBODY_EVERY = 3;
+  /** While no leader is known, one attempt in this many goes to any member, voter or not. */
+  private static final int ANY_MEMBER_EVERY = 3;
 
-  /** What became of a call. */
+  /** The outcome of an attempt. The constants are sent by name. */
   enum Outcome {
-    /** Answered by the leader. */
+    /** The leader has handled the call. */
     DONE,
-    /** Whoever was asked does not lead. */
+    /** The member that was asked is not the leader. */
     NOT_ME,
-    /** The leader could not do it now, or does not know what becomes of it. */
+    /** The leader cannot handle the call now, or does not know its outcome. */
     LATER
   }
 
-  /** How often it is asked again may be seen by the caller: each attempt tells when it was sent. */
+  /** An open call and its current attempt. */
   private final class Call {
     private final Map<String, Object> fields;
-    private final long until;
+    private final long deadlineNanos;
     private final CompletableFuture<Reply> result = new CompletableFuture<>();
-    private int attempt;
-    private long sentAt;
-    private String asked;
+    private int attempts;
+    private long sentNanos;
+    private String target;
 
-    Call(Map<String, Object> fields, long until) {
+    Call(Map<String, Object> fields, long deadlineNanos) {
       this.fields = fields;
-      this.until = until;
+      this.deadlineNanos = deadlineNanos;
     }
   }
 
   /**
-   * A leader's answer.
+   * The reply of a leader.
    *
    * @param from the leader
-   * @param askedAt when the attempt that it answers was sent, by the caller's clock
+   * @param sentNanos when the attempt that was answered was sent, by the caller's clock
    */
-  record Reply(String from, long askedAt, Fields fields) {}
+  record Reply(String from, long sentNanos, Fields fields) {}
 
   private final String self;
-  private final Transport wire;
+  private final Transport transport;
   private final Scheduler scheduler;
   private final Random random;
-  private final long patience;
+  private final long attemptTimeoutNanos;
 
-  /** Attempts whose answers are awaited. */
-  private final Map<Long, Call> calls = new HashMap<>();
+  /** The calls whose current attempt awaits a reply, by the number of the attempt. */
+  private final Map<Long, Call> awaitingReply = new HashMap<>();
 
-  /** All that are not decided, those between two attempts among them. */
-  private final Set<Call> open = new LinkedHashSet<>();
+  /** All calls that are not finished, including those between two attempts. */
+  private final Set<Call> openCalls = new LinkedHashSet<>();
 
   private final List<String> members;
   private List<String> voters;
   private String leader;
-  private long numbers;
+  private long lastNumber;
   private boolean stopped;
 
   /**
-   * @param patienceNanos how long one attempt waits for its answer
+   * @param attemptTimeoutNanos how long one attempt waits for its reply
    */
   LeaderCalls(
       MemberSettings settings,
-      Transport wire,
+      Transport transport,
       Scheduler scheduler,
       Random random,
-      long patienceNanos) {
+      long attemptTimeoutNanos) {
     self = settings.self();
     members = settings.members();
     voters = settings.voters();
-    this.wire = wire;
+    this.transport = transport;
     this.scheduler = scheduler;
     this.random = random;
-    this.patience = patienceNanos;
+    this.attemptTimeoutNanos = attemptTimeoutNanos;
   }
 
-  /** Whose votes count now, as a leader says. */
-  void voters(List<String> now) {
-    if (!now.isEmpty()) {
-      voters = List.copyOf(now);
+  /** Updates the voters to those that a leader has reported. */
+  void updateVoters(List<String> voters) {
+    if (!voters.isEmpty()) {
+      this.voters = List.copyOf(voters);
     }
   }
 
-  /** Somebody is known to lead. */
-  void leads(String member) {
+  /** Sets the known leader. */
+  void setLeader(String member) {
     leader = member;
   }
 
-  /** Who leads, as far as is known here; null for nobody known. */
+  /** Returns the last known leader, or null. */
   String leader() {
     return leader;
   }
@@ -117,27 +117,27 @@
 
   void stop() {
     stopped = true;
-    List<Call> left = new ArrayList<>(open);
-    calls.clear();
-    open.clear();
-    for (Call call : left) {
+    List<Call> remaining = new ArrayList<>(openCalls);
+    awaitingReply.clear();
+    openCalls.clear();
+    for (Call call : remaining) {
       call.result.completeExceptionally(new IllegalStateException("the member has stopped"));
     }
   }
 
   /**
-   * Makes a call; fails when it is given up, and then it may have been done.
+   * Makes a call. If it fails after its timeout, the leader may still have handled it.
    *
-   * @param forNanos how long it is tried
+   * @param timeoutNanos how long the call is attempted
    */
-  CompletableFuture<Reply> call(Map<String, Object> fields, long forNanos) {
-    Call call = new Call(fields, scheduler.nanos() + forNanos);
-    if (stopped || open.size() >= MOST) {
+  CompletableFuture<Reply> call(Map<String, Object> fields, long timeoutNanos) {
+    Call call = new Call(fields, scheduler.nanos() + timeoutNanos);
+    if (stopped || openCalls.size() >= MAX_OPEN_CALLS) {
       call.result.completeExceptionally(
-          new IllegalStateException(stopped ? "the member has stopped" : "too many calls"));
+          new IllegalStateException(stopped ? "the member has stopped" : "too many open calls"));
     } else {
-      open.add(call);
-      attempt(++numbers, call);
+      openCalls.add(call);
+      attempt(++lastNumber, call);
     }
     return call.result;
   }
@@ -146,72 +146,75 @@
     if (stopped) {
       return;
     }
-    long now = scheduler.nanos();
-    if (now - call.until >= 0) {
-      open.remove(call);
+    long nowNanos = scheduler.nanos();
+    if (nowNanos - call.deadlineNanos >= 0) {
+      openCalls.remove(call);
       call.result.completeExceptionally(
           new IllegalStateException(
-              "no leader has answered; asked last: " + (call.asked == null ? "-" : call.asked)));
+              "no leader responded; last asked: " + (call.target == null ? "-" : call.target)));
       return;
     }
-    call.attempt++;
-    call.sentAt = now;
-    // The voters may all be others by now than the file has them.
-    List<String> some = call.attempt % ANYBODY_EVERY == 0 ? members : voters;
-    call.asked = leader != null ? leader : some.get(random.nextInt(some.size()));
-    calls.put(number, call);
-    Map<String, Object> out = Packets.of(Packets.CALL);
+    call.attempts++;
+    call.sentNanos = nowNanos;
+    // All voters may have been replaced since the settings were written.
+    List<String> candidates = call.attempts % ANY_MEMBER_EVERY == 0 ? members : voters;
+    call.target = leader != null ? leader : candidates.get(random.nextInt(candidates.size()));
+    awaitingReply.put(number, call);
+    Map<String, Object> out = Packets.ofKind(Packets.CALL);
     out.put("number", number);
     out.putAll(call.fields);
-    wire.send(call.asked, Cbor.write(out));
-    scheduler.schedule(patience, () -> unanswered(number));
+    transport.send(call.target, Cbor.write(out));
+    scheduler.schedule(attemptTimeoutNanos, () -> attemptTimedOut(number));
   }
 
-  private void unanswered(long number) {
-    Call call = calls.remove(number);
+  private void attemptTimedOut(long number) {
+    Call call = awaitingReply.remove(number);
     if (call != null) {
-      if (call.asked.equals(leader)) {
+      if (call.target.equals(leader)) {
         leader = null;
       }
-      again(call);
+      retryLater(call);
     }
   }
 
-  /** Under a new number, so that a late answer to an earlier attempt is not taken for its. */
-  private void again(Call call) {
-    // From nothing to a whole patience, more so with each attempt, so that many do not come at
-    // once.
-    long most = Math.min(patience, (patience / 16) << Math.min(6, call.attempt));
-    scheduler.schedule(1 + (long) (random.nextDouble() * most), () -> attempt(++numbers, call));
+  /** Repeats a call under a new number, so that a late reply to an earlier attempt is ignored. */
+  private void retryLater(Call call) {
+    // A random delay with exponential backoff, up to the timeout of an attempt, so that many
+    // callers
+    // do not repeat at once.
+    long maxDelayNanos =
+        Math.min(attemptTimeoutNanos, (attemptTimeoutNanos / 16) << Math.min(6, call.attempts));
+    scheduler.schedule(
+        1 + (long) (random.nextDouble() * maxDelayNanos), () -> attempt(++lastNumber, call));
   }
 
-  /** Takes an answer. */
+  /** Handles a reply. */
   void reply(String from, Fields in) throws MalformedException {
-    Call call = calls.get(in.number("number"));
-    if (call == null || !call.asked.equals(from)) {
+    Call call = awaitingReply.get(in.number("number"));
+    if (call == null || !call.target.equals(from)) {
       return;
     }
     Outcome outcome = in.enumValue("outcome", Outcome.class);
     String hint = in.has("leader") ? in.text("leader") : "";
-    calls.remove(in.number("number"));
+    awaitingReply.remove(in.number("number"));
     switch (outcome) {
       case DONE -> {
-        open.remove(call);
+        openCalls.remove(call);
         leader = from;
-        call.result.complete(new Reply(from, call.sentAt, in));
+        call.result.complete(new Reply(from, call.sentNanos, in));
       }
       case NOT_ME -> {
         leader = hint.isEmpty() || hint.equals(from) ? null : hint;
-        again(call);
+        retryLater(call);
       }
-      case LATER -> again(call);
+      case LATER -> retryLater(call);
     }
   }
 
-  /** Where this member asks when it wants all voters that there may be. */
-  List<String> everybody(List<String> more) {
+  /** Returns the known voters and the given ones, without this member. */
+  List<String> otherVoters(List<String> additional) {
     LinkedHashSet<String> out = new LinkedHashSet<>(voters);
-    out.addAll(more);
+    out.addAll(additional);
     out.remove(self);
     return List.copyOf(out);
   }
--- a/src/main/java/hazelspoke/agreement/member/Leadership.java
+++ b/src/main/java/hazelspoke/agreement/member/Leadership.java
@@ -19,71 +19,71 @@
 import java.util.function.Consumer;
 
 /**
- * What a voter does while it leads: it answers calls, and counts the terms of all sessions.
- * Whatever it says of the record it says after a majority has confirmed that it still leads; those
- * who ask meanwhile share the next confirmation.
+ * A voter's duties while it is the leader: it handles calls and tracks the leases of all sessions.
+ * It reports the state of the record only after a majority has confirmed that it is still the
+ * leader; calls that arrive meanwhile share the next confirmation.
  */
 final class Leadership {
-  /** Those that are silent are tried so many ticks apart, which is half a term. */
+  /** Members with expired leases are probed at this interval, which is half a lease. */
   private static final int PROBE_TICKS = 10;
 
-  /** So many calls may wait for a confirmation; further ones are told to come later. */
-  private static final int MOST_WAITING = 4_096;
+  /** How many calls may wait for a confirmation; callers of further ones retry later. */
+  private static final int MAX_UNCONFIRMED_CALLS = 4_096;
 
   private final Scheduler scheduler;
-  private final Transport wire;
+  private final Transport transport;
   private final Member.Listener listener;
-  private final SessionLeases terms;
+  private final SessionLeases leases;
   private final String origin;
   private final long tickNanos;
-  private final VoterChanges growth;
-  private List<Runnable> waiting = new ArrayList<>();
-  private List<Runnable> refused = new ArrayList<>();
+  private final VoterChanges voterChanges;
+  private List<Runnable> actionsOnConfirmed = new ArrayList<>();
+  private List<Runnable> actionsOnFailure = new ArrayList<>();
   private boolean confirming;
-  private long numbers;
+  private long lastNumber;
   private long ticks;
   private final boolean refusalProvesEnd;
   private Engine engine;
-  private boolean ended;
+  private boolean stopped;
 
   Leadership(
       MemberSettings settings,
       Scheduler scheduler,
       Random random,
-      Transport wire,
+      Transport transport,
       Member.Listener listener,
-      Components parts) {
-    this.wire = wire;
-    growth = new VoterChanges(settings, random, scheduler, wire, parts);
+      Components components) {
+    this.transport = transport;
+    voterChanges = new VoterChanges(settings, random, scheduler, transport, components);
     refusalProvesEnd = settings.refusalProvesEnd();
     this.scheduler = scheduler;
     this.listener = listener;
     tickNanos = Math.max(1, settings.leaseNanos() / 20);
-    terms = parts.terms(settings, tickNanos);
+    leases = components.leases(settings, tickNanos);
     origin = settings.self() + "/leads/" + Long.toHexString(random.nextLong());
   }
 
-  void engine(Engine of, List<VoterId> founders) {
-    engine = of;
-    growth.begin(of, founders);
+  void start(Engine engine, List<VoterId> founders) {
+    this.engine = engine;
+    voterChanges.start(engine, founders);
   }
 
-  void ends() {
-    ended = true;
-    growth.ends();
+  void stop() {
+    stopped = true;
+    voterChanges.stop();
   }
 
-  void leads(boolean leads) {
-    if (leads) {
-      terms.begin(scheduler.nanos());
+  void leadershipChanged(boolean isLeader) {
+    if (isLeader) {
+      leases.start(scheduler.nanos());
     } else {
-      growth.ends();
+      voterChanges.stop();
     }
   }
 
-  /** A member that is to be a voter says how far it has the record. */
-  void filled(String from, Fields in) throws MalformedException {
-    growth.filled(from, in.text("as"), in.number("index"));
+  /** Handles the report of an invited member up to which index it has the record. */
+  void caughtUp(String from, Fields in) throws MalformedException {
+    voterChanges.caughtUp(from, in.text("as"), in.number("index"));
   }
 
   void applied() {
@@ -91,11 +91,11 @@
   }
 
   void tick() {
-    if (ended) {
+    if (stopped) {
       return;
     }
-    if (leads()) {
-      for (Session session : terms.tick(scheduler.nanos(), engine.record().sessions())) {
+    if (isLeader()) {
+      for (Session session : leases.tick(scheduler.nanos(), engine.record().sessions())) {
         lapse(session);
       }
       if (refusalProvesEnd && ++ticks % PROBE_TICKS == 0) {
@@ -105,15 +105,16 @@
     scheduler.schedule(tickNanos, this::tick);
   }
 
-  /** Whether the silent ones are over: then nobody listens at their ports. */
+  /** Probes the ports of members with expired leases, where nothing listens after their end. */
   private void probe() {
     for (Session session : engine.record().sessions()) {
       if (session.status() == Status.SILENT) {
-        // The attempt begins after this incarnation has joined, so a refusal is about its end.
-        wire.probe(
+        // The probe starts after this incarnation has joined, so a refusal proves that it has
+        // ended.
+        transport.probe(
             session.member(),
             () -> {
-              if (!ended && leads()) {
+              if (!stopped && isLeader()) {
                 listener.event("refused by=machine member=" + session.member());
                 propose(new Command.Refused(session.member(), session.incarnation()));
               }
@@ -122,7 +123,7 @@
     }
   }
 
-  private boolean leads() {
+  private boolean isLeader() {
     return engine != null && engine.isLeader();
   }
 
@@ -130,51 +131,51 @@
     listener.event("silent member=" + session.member() + " incarnation=" + session.incarnation());
     propose(new Command.Lapse(session.member(), session.incarnation()))
         .whenComplete(
-            (answer, failure) -> {
-              // One whose fate is unknown may still come true, so nothing is said to its holder.
+            (result, failure) -> {
+              // A lapse whose outcome is unknown may still be committed: renewals stay deferred.
               if (failure != null && Engine.isRefusal(failure)) {
-                terms.notLapsed(session);
+                leases.lapseFailed(session);
               }
             });
   }
 
   private CompletableFuture<CommandResult> propose(Command command) {
-    return engine.propose(new Command.Numbered(origin, ++numbers, command));
+    return engine.propose(new Command.Numbered(origin, ++lastNumber, command));
   }
 
   /**
-   * Answers a call, now or once it is decided.
+   * Handles a call; the reply is sent once the outcome is known.
    *
-   * @param heard who leads, as a member without an engine has heard; null for nobody known
+   * @param knownLeader the leader that this member knows without an engine, or null
    */
-  void call(String from, Fields in, String heard, Consumer<byte[]> answer)
+  void call(String from, Fields in, String knownLeader, Consumer<byte[]> replySender)
       throws MalformedException {
-    Map<String, Object> reply = Packets.of(Packets.REPLY);
+    Map<String, Object> reply = Packets.ofKind(Packets.REPLY);
     reply.put("number", in.number("number"));
-    if (!leads()) {
+    if (!isLeader()) {
       VoterId leader = engine == null ? null : engine.leader();
-      String hint = leader == null ? heard : leader.member();
+      String hint = leader == null ? knownLeader : leader.member();
       reply.put("outcome", LeaderCalls.Outcome.NOT_ME.name());
       reply.put("leader", hint == null ? "" : hint);
-      answer.accept(Cbor.write(reply));
+      replySender.accept(Cbor.write(reply));
       return;
     }
     Consumer<LeaderCalls.Outcome> send =
         outcome -> {
           reply.put("outcome", outcome.name());
-          answer.accept(Cbor.write(reply));
+          replySender.accept(Cbor.write(reply));
         };
     switch (in.text("call")) {
       case "command" -> command(from, in, reply, send);
       case "renew" -> {
         long incarnation = in.number("incarnation");
-        long life = in.number("life");
-        confirmed(() -> renew(from, incarnation, life, reply, send), send);
+        long sessionEpoch = in.number("life");
+        runWhenConfirmed(() -> renew(from, incarnation, sessionEpoch, reply, send), send);
       }
       case "read" ->
-          confirmed(
+          runWhenConfirmed(
               () -> {
-                howFar(reply);
+                putIndex(reply);
                 reply.put("state", engine.record().bytes());
                 send.accept(LeaderCalls.Outcome.DONE);
               },
@@ -188,23 +189,26 @@
       String from, Fields in, Map<String, Object> reply, Consumer<LeaderCalls.Outcome> send)
       throws MalformedException {
     Command.Numbered command = Command.Numbered.read(in.bytes("command"));
-    if (!mayGive(from, command.command())) {
-      throw new MalformedException(from + " may not give " + command.command());
+    if (!maySubmit(from, command.command())) {
+      throw new MalformedException(from + " may not submit " + command.command());
     }
     engine
         .propose(command)
         .whenComplete(
-            (answer, failure) -> {
+            (result, failure) -> {
               if (failure == null) {
-                reply.put("answer", answer.fields());
-                howFar(reply);
+                reply.put("answer", result.fields());
+                putIndex(reply);
               }
               send.accept(failure == null ? LeaderCalls.Outcome.DONE : LeaderCalls.Outcome.LATER);
             });
   }
 
-  /** What concerns one member's own standing it says itself; what time decides, a leader does. */
-  private static boolean mayGive(String from, Command command) {
+  /**
+   * Whether a member may submit a command. Each member changes only its own session; what depends
+   * on time is decided by the leader.
+   */
+  private static boolean maySubmit(String from, Command command) {
     if (command instanceof Command.Join join) {
       return join.member().equals(from);
     } else if (command instanceof Command.Leave leave) {
@@ -218,93 +222,99 @@
   private void renew(
       String from,
       long incarnation,
-      long life,
+      long sessionEpoch,
       Map<String, Object> reply,
       Consumer<LeaderCalls.Outcome> send) {
     FleetRecord record = engine.record();
     Session session = record.session(from);
-    boolean its =
-        session != null && session.incarnation() == incarnation && session.sessionEpoch() == life;
-    if (its && session.status() == Status.THERE) {
-      if (terms.isLapsing(session)) {
-        // Its lapse is under way: to say that it holds could turn out wrong.
+    boolean isCurrent =
+        session != null
+            && session.incarnation() == incarnation
+            && session.sessionEpoch() == sessionEpoch;
+    if (isCurrent && session.status() == Status.THERE) {
+      if (leases.isLapsing(session)) {
+        // The lapse is pending: a reply that the lease is valid could turn out to be wrong.
         send.accept(LeaderCalls.Outcome.LATER);
         return;
       }
-      terms.renewed(session, scheduler.nanos());
+      leases.renew(session, scheduler.nanos());
     }
-    reply.put("standing", its ? session.status().name() : "");
-    howFar(reply);
+    reply.put("standing", isCurrent ? session.status().name() : "");
+    putIndex(reply);
     send.accept(LeaderCalls.Outcome.DONE);
   }
 
   /**
-   * Up to where the record goes; what it says there, members have from the feed. Only after a
-   * majority has confirmed that this is the leader: who hears it may call itself current.
+   * Adds the index of the record and the voters; members receive the entries from the feed. Called
+   * only after a majority has confirmed the leadership, as the receiver relies on the index being
+   * current.
    */
-  private void howFar(Map<String, Object> reply) {
-    voters(reply);
+  private void putIndex(Map<String, Object> reply) {
+    putVoters(reply);
     reply.put("index", engine.appliedIndex());
   }
 
-  private void voters(Map<String, Object> reply) {
+  private void putVoters(Map<String, Object> reply) {
     reply.put("voters", engine.voters().stream().map(VoterId::member).distinct().toList());
   }
 
   private void changeVoter(
       boolean add, String member, Map<String, Object> reply, Consumer<LeaderCalls.Outcome> send) {
     Session session = engine.record().session(member);
-    String not = growth.mayNot(add, member, session);
-    if (not != null) {
-      reply.put("answer", new CommandResult(false, 0, not).fields());
-      voters(reply);
+    String rejection = voterChanges.rejection(add, member, session);
+    if (rejection != null) {
+      reply.put("answer", new CommandResult(false, 0, rejection).fields());
+      putVoters(reply);
       send.accept(LeaderCalls.Outcome.DONE);
       return;
     }
     CompletableFuture<Void> change =
-        add ? growth.add(member, session.storeId()) : growth.remove(member);
+        add ? voterChanges.add(member, session.storeId()) : voterChanges.remove(member);
     change.whenComplete(
         (x, failure) -> {
-          String why = VoterChanges.notFilled(failure);
+          String failureReason = VoterChanges.catchUpFailure(failure);
           if (failure == null) {
             listener.event((add ? "added" : "removed") + " voter=" + member);
           }
-          if (failure == null || why != null) {
+          if (failure == null || failureReason != null) {
             long index = engine.record().index();
             reply.put(
-                "answer", new CommandResult(why == null, index, why == null ? "" : why).fields());
-            voters(reply);
+                "answer",
+                new CommandResult(
+                        failureReason == null, index, failureReason == null ? "" : failureReason)
+                    .fields());
+            putVoters(reply);
           }
           send.accept(
               reply.containsKey("answer") ? LeaderCalls.Outcome.DONE : LeaderCalls.Outcome.LATER);
         });
   }
 
-  private void confirmed(Runnable then, Consumer<LeaderCalls.Outcome> send) {
-    if (waiting.size() >= MOST_WAITING) {
+  private void runWhenConfirmed(Runnable action, Consumer<LeaderCalls.Outcome> send) {
+    if (actionsOnConfirmed.size() >= MAX_UNCONFIRMED_CALLS) {
       send.accept(LeaderCalls.Outcome.LATER);
       return;
     }
-    waiting.add(then);
-    refused.add(() -> send.accept(LeaderCalls.Outcome.LATER));
+    actionsOnConfirmed.add(action);
+    actionsOnFailure.add(() -> send.accept(LeaderCalls.Outcome.LATER));
     confirm();
   }
 
   private void confirm() {
-    if (confirming || waiting.isEmpty()) {
+    if (confirming || actionsOnConfirmed.isEmpty()) {
       return;
     }
     confirming = true;
-    List<Runnable> ok = waiting;
-    List<Runnable> not = refused;
-    waiting = new ArrayList<>();
-    refused = new ArrayList<>();
+    List<Runnable> confirmedActions = actionsOnConfirmed;
+    List<Runnable> failureActions = actionsOnFailure;
+    actionsOnConfirmed = new ArrayList<>();
+    actionsOnFailure = new ArrayList<>();
     engine
         .confirmLeadership()
         .whenComplete(
             (index, failure) -> {
               confirming = false;
-              (failure == null ? ok : not).forEach(Runnable::run);
+              (failure == null ? confirmedActions : failureActions).forEach(Runnable::run);
               confirm();
             });
   }
