--- a/src/main/java/hazelspoke/agreement/engine/Engine.java
+++ b/src/main/java/hazelspoke/agreement/engine/Engine.java
@@ -36,44 +36,47 @@
 import java.util.concurrent.CompletionException;
 import java.util.function.Consumer;
 
-/** One voter's part in keeping the record. All calls on its owner's turns. */
+/**
+ * A voter or learner of the Raft group that replicates the record. Every call has to come from the
+ * thread of its {@link Scheduler}.
+ */
 public class Engine {
-  /** What the owner is told. */
+  /** Callbacks of the engine. */
   public interface Owner {
-    /** Sends bytes to a voter, or drops them. */
+    /** Sends a message to a voter; it may be dropped. */
     void send(VoterId to, byte[] message);
 
-    /** An entry was applied; the engine's record stands there now. */
+    /** An entry was applied to {@link #record}, which is now at this index. */
     void entryApplied(long index, byte[] entry);
 
-    /** A snapshot took the place of the record; the engine's record stands there now. */
+    /** A snapshot replaced {@link #record}, which is now at this index. */
     void snapshotInstalled(long index);
 
-    /** This voter has become the leader of a term, or has ceased to be. */
+    /** This voter has become the leader of a term, or has stopped being the leader. */
     void leadershipChanged(boolean isLeader, int term);
 
-    /** Its engine cannot go on as it is, and is to be started anew from the disk. */
+    /** The engine has stopped and has to be restarted from the disk. */
     void restartRequired(String reason);
 
-    /** It will not vote or acknowledge any more. */
+    /** The store has failed; this voter will not vote or acknowledge entries any more. */
     void storeFailed(IOException cause);
   }
 
   /**
-   * How an engine keeps time.
+   * Timing of an engine.
    *
-   * @param heartbeatNanos between a leader's signs of life
-   * @param snapshotEveryEntries so many entries
+   * @param heartbeatNanos interval of a leader's heartbeats
+   * @param snapshotEveryEntries number of committed entries between two snapshots
    */
   public record Parameters(long heartbeatNanos, int snapshotEveryEntries) {}
 
-  /** Without a sign of a leader for so many heartbeats a voter calls for an election. */
-  static final int HEARTBEATS_MISSED = 3;
+  /** A voter starts an election after this many heartbeat intervals without a leader. */
+  static final int LEADER_TIMEOUT_HEARTBEATS = 3;
 
-  private static final Object READ = new Object();
-  private static final byte[] NEW_TERM = {};
-  private static final int MOST_PENDING = 5_000;
-  private static final int BATCH = 200;
+  private static final Object READ_QUERY = new Object();
+  private static final byte[] NEW_TERM_ENTRY = {};
+  private static final int MAX_PENDING_ENTRIES = 5_000;
+  private static final int MAX_ENTRIES_PER_APPEND = 200;
 
   private final VoterId self;
   private final Object group;
@@ -82,19 +85,19 @@
   private final VoterStore store;
   private final RaftNode node;
   private FleetRecord record = new FleetRecord();
-  private long applied;
-  private boolean muted;
-  private boolean leads;
+  private long appliedIndex;
+  private boolean stopped;
+  private boolean wasLeader;
   private long lastLeaderContactNanos;
 
   /**
-   * What an engine is made from.
+   * What an engine is created with.
    *
-   * @param fleet its name; messages of another one's are refused
-   * @param self whose vote it is
-   * @param initialVoters the voters at the beginning of the record
-   * @param store what it must not forget
-   * @param random of this life alone
+   * @param fleet the name of the fleet, used as the id of the Raft group
+   * @param self the id of this voter
+   * @param initialVoters the voters that the record was bootstrapped with
+   * @param store the durable state of this voter
+   * @param random used by this engine alone
    */
   public record Setup(
       String fleet,
@@ -107,44 +110,44 @@
       Owner owner) {}
 
   /**
-   * Starts a voter, or one that waits to be made one.
+   * Starts a voter, or a learner that waits to become one.
    *
-   * @throws MalformedException if the store holds what no engine has written
+   * @throws MalformedException if the store holds entries or a snapshot that cannot be decoded
    */
   public Engine(Setup setup) throws MalformedException {
     self = setup.self();
     group = setup.fleet();
     owner = setup.owner();
     scheduler = setup.scheduler();
-    store = new VoterStore(setup.store(), this::storeFailed, this::part);
+    store = new VoterStore(setup.store(), this::storeFailed, this::restartAfterConflict);
     lastLeaderContactNanos = scheduler.nanos();
-    Collection<RaftEndpoint> first = new LinkedHashSet<>(setup.initialVoters());
-    EngineExecutor time =
-        new EngineExecutor(scheduler, setup.parameters().heartbeatNanos(), this::defect);
+    Collection<RaftEndpoint> initialVoters = new LinkedHashSet<>(setup.initialVoters());
+    EngineExecutor executor =
+        new EngineExecutor(scheduler, setup.parameters().heartbeatNanos(), this::engineFault);
     RaftNode.RaftNodeBuilder builder =
         RaftNode.newBuilder()
             .setGroupId(group)
             .setConfig(
                 RaftConfig.newBuilder()
                     .setLeaderHeartbeatPeriodSecs(1)
-                    .setLeaderHeartbeatTimeoutSecs(HEARTBEATS_MISSED)
+                    .setLeaderHeartbeatTimeoutSecs(LEADER_TIMEOUT_HEARTBEATS)
                     .setLeaderElectionTimeoutMillis(1_000)
-                    .setAppendEntriesRequestBatchSize(BATCH)
-                    .setMaxPendingLogEntryCount(MOST_PENDING)
+                    .setAppendEntriesRequestBatchSize(MAX_ENTRIES_PER_APPEND)
+                    .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
                     .setCommitCountToTakeSnapshot(setup.parameters().snapshotEveryEntries())
                     .setTransferSnapshotsFromFollowersEnabled(false)
                     .build())
-            .setExecutor(time)
-            .setClock(time)
+            .setExecutor(executor)
+            .setClock(executor)
             .setRandom(setup.random())
-            .setTransport(new Mail())
-            .setStateMachine(new Machine())
+            .setTransport(new EngineTransport())
+            .setStateMachine(new RecordStateMachine())
             .setModelFactory(Operations.MODELS)
             .setStore(store)
-            .setRaftNodeReportListener(this::report);
-    RestoredRaftState restored = VoterStore.restore(setup.store().recovered(), self, first);
+            .setRaftNodeReportListener(this::onReport);
+    RestoredRaftState restored = VoterStore.restore(setup.store().recovered(), self, initialVoters);
     if (restored == null) {
-      builder.setLocalEndpoint(self).setInitialGroupMembers(first);
+      builder.setLocalEndpoint(self).setInitialGroupMembers(initialVoters);
     } else {
       builder.setRestoredState(restored);
     }
@@ -152,25 +155,25 @@
     node.start();
   }
 
-  /** What the entries that were applied here have come to; its owner only reads it. */
+  /** The record with all entries applied so far. The owner must not modify it. */
   public FleetRecord record() {
     return record;
   }
 
   /**
-   * The index of the last entry or snapshot that the record was told of here; a change of voters is
-   * an entry that it is not told of.
+   * The index of the last command or snapshot that was applied to the record. Membership changes
+   * take an index too, but are not applied to the record.
    */
   public long appliedIndex() {
-    return applied;
+    return appliedIndex;
   }
 
-  /** Whether it leads, as far as it knows. */
+  /** Whether this voter is the leader, as far as it knows. */
   public boolean isLeader() {
-    return !muted && self.equals(leader());
+    return !stopped && self.equals(leader());
   }
 
-  /** The leader as far as it knows, or null. */
+  /** The leader as far as this voter knows, or null. */
   public VoterId leader() {
     return (VoterId) node.getTerm().getLeaderEndpoint();
   }
@@ -179,72 +182,74 @@
     return node.getTerm().getTerm();
   }
 
-  /** Whose votes count, by the last change that this voter has heard of. */
+  /** The voters, by the latest membership change in this voter's log, committed or not. */
   public List<VoterId> voters() {
     return node.getEffectiveMembers().getVotingMembers().stream().map(v -> (VoterId) v).toList();
   }
 
-  /** The voters and those that are filled without a vote, by the same change. */
+  /** The voters and the learners, by the same membership change. */
   public List<VoterId> votersAndLearners() {
     return node.getEffectiveMembers().getMembers().stream().map(v -> (VoterId) v).toList();
   }
 
   /**
-   * Takes a message of another voter's.
+   * Handles a message of another voter.
    *
-   * @param from the member that it came from
-   * @throws MalformedException if it is none, or says that it is another's
+   * @param from the member whose connection it came on
+   * @throws MalformedException if it cannot be decoded, or names another sender
    */
   public void handle(String from, byte[] message) throws MalformedException {
-    RaftMessage read = Messages.read(message, group);
-    if (!((VoterId) read.getSender()).member().equals(from)) {
-      throw new MalformedException("a message of " + read.getSender() + " came from " + from);
+    RaftMessage received = Messages.read(message, group);
+    if (!((VoterId) received.getSender()).member().equals(from)) {
+      throw new MalformedException(
+          "a message in the name of " + received.getSender() + " came from " + from);
     }
-    if (!muted) {
-      if (read instanceof AppendEntriesRequest || read instanceof InstallSnapshotRequest) {
+    if (!stopped) {
+      if (received instanceof AppendEntriesRequest || received instanceof InstallSnapshotRequest) {
         lastLeaderContactNanos = scheduler.nanos();
       }
-      if (read instanceof AppendEntriesRequest request) {
-        append(request);
+      if (received instanceof AppendEntriesRequest request) {
+        handleAppendEntries(request);
         return;
       }
-      node.handle(read);
-      if (read instanceof PreVoteResponse response) {
-        learnTerm(response);
+      node.handle(received);
+      if (received instanceof PreVoteResponse response) {
+        adoptLaterTerm(response);
       }
     }
   }
 
   /**
-   * Takes entries that follow this voter's snapshot. MicroRaft 0.7 does not find the place behind a
-   * snapshot while it has entries there, and turns down whatever is to follow: a voter that comes
-   * back with a snapshot and entries that were never agreed on would take none any more. So what it
-   * has already is left out of the request, and what contradicts it is cut off first.
+   * Handles entries that follow this voter's snapshot. MicroRaft 0.7 does not find the log position
+   * just after a snapshot while the log has entries there, and rejects every append at that
+   * position: a voter that restarts with a snapshot and uncommitted entries would never accept an
+   * entry again. So entries that are already in the log are left out of the request, and
+   * conflicting ones are truncated first.
    */
-  private void append(AppendEntriesRequest request) {
+  private void handleAppendEntries(AppendEntriesRequest request) {
     long previous = request.getPreviousLogIndex();
     List<LogEntry> entries = request.getLogEntries();
-    // What a leader of an earlier term says contradicts nothing.
+    // A request of an earlier term is rejected by the engine and must not truncate entries.
     if (request.getTerm() < term()
         || entries.isEmpty()
-        || !store.isSnapshotBehindEntries(previous)) {
+        || !store.hasEntriesAfterSnapshot(previous)) {
       node.handle(request);
       return;
     }
-    int same = 0;
-    while (same < entries.size() && store.has(entries.get(same))) {
-      same++;
+    int matching = 0;
+    while (matching < entries.size() && store.has(entries.get(matching))) {
+      matching++;
     }
-    if (same == 0) {
+    if (matching == 0) {
       try {
         store.truncateLogEntriesFrom(previous + 1);
-        part();
+        restartAfterConflict();
       } catch (IOException e) {
-        // Its owner has been told.
+        // The store's failure has been reported to the owner.
       }
       return;
     }
-    LogEntry last = entries.get(same - 1);
+    LogEntry last = entries.get(matching - 1);
     node.handle(
         Operations.MODELS
             .createAppendEntriesRequestBuilder()
@@ -254,19 +259,19 @@
             .setPreviousLogTerm(last.getTerm())
             .setPreviousLogIndex(last.getIndex())
             .setCommitIndex(request.getCommitIndex())
-            .setLogEntries(entries.subList(same, entries.size()))
+            .setLogEntries(entries.subList(matching, entries.size()))
             .setQuerySequenceNumber(request.getQuerySequenceNumber())
             .setFlowControlSequenceNumber(request.getFlowControlSequenceNumber())
             .build());
   }
 
   /**
-   * Takes over a later term from who would not vote. MicroRaft 0.7 leaves a term that it hears of
-   * in such an answer alone: of two voters, one with the longer log and one in the later term, each
-   * then turns the other down for ever. The engine takes a term over from a request for votes, so
-   * it is given one that cannot be granted, as it comes from an empty log.
+   * Adopts a later term from a denied pre-vote. MicroRaft 0.7 ignores the term in such a response:
+   * of two voters, one with the longer log and one in the later term, each would then deny the
+   * other's pre-vote forever. The engine does adopt the term of a vote request, so it is given one
+   * that cannot be granted, as its candidate's log is empty.
    */
-  private void learnTerm(PreVoteResponse response) {
+  private void adoptLaterTerm(PreVoteResponse response) {
     if (!response.isGranted() && isLaterTerm(response.getTerm())) {
       node.handle(
           Operations.MODELS
@@ -281,59 +286,70 @@
     }
   }
 
-  /** The next term may only be the question's own, sent back; taken over, it would never end. */
+  /**
+   * Whether to adopt a term from a pre-vote response. The current term plus one may be the term of
+   * this voter's own pre-vote request, echoed; adopting it would raise the term without end.
+   */
   protected boolean isLaterTerm(int receivedTerm) {
     return receivedTerm > term() + 1;
   }
 
   /**
-   * MicroRaft 0.7 counts a candidate's own vote also where it is no voter any more: one more vote
-   * of three, and whoever had led and was removed would overwrite what was agreed on.
+   * Whether this voter may request votes. MicroRaft 0.7 counts a candidate's own vote even if it is
+   * no longer a voter: with one further vote of three, a former leader that was removed would win
+   * an election and overwrite committed entries.
    */
   protected boolean mayRequestVotes() {
     return voters().contains(self);
   }
 
-  /** When a leader's sign of life came last, or else the start; on its owner's clock, in ns. */
+  /**
+   * The time of the last message from a leader, of the last change of leadership, or of the start
+   * if there was neither; on the scheduler's clock, in ns.
+   */
   public long lastLeaderContactNanos() {
     return lastLeaderContactNanos;
   }
 
   /**
-   * Puts a command on the record; fails where this is no leader, or nobody knows what became of it.
+   * Replicates a command. Fails if this voter is not the leader, or if the outcome is unknown; see
+   * {@link #isRefusal}.
    */
   public CompletableFuture<CommandResult> propose(Command.Numbered command) {
-    if (muted) {
-      return CompletableFuture.failedFuture(new IllegalStateException("this voter has failed"));
+    if (stopped) {
+      return CompletableFuture.failedFuture(new IllegalStateException("this voter has stopped"));
     }
     return node.<CommandResult>replicate(command.bytes()).thenApply(Ordered::getResult);
   }
 
   /**
-   * Done once a majority has confirmed that this is the leader, after the call; what the record
-   * says then is as new as any answer that was given before the call. Fails where this is no
-   * leader.
+   * Completes once a majority has confirmed, after the call, that this voter is the leader; a read
+   * of the record is then linearizable: it reflects every response that was given before the call.
+   * Fails if this voter is not the leader.
    */
   public CompletableFuture<Long> confirmLeadership() {
-    if (muted) {
-      return CompletableFuture.failedFuture(new IllegalStateException("this voter has failed"));
+    if (stopped) {
+      return CompletableFuture.failedFuture(new IllegalStateException("this voter has stopped"));
     }
-    return node.<Long>query(READ, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+    return node.<Long>query(
+            READ_QUERY, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
         .thenCompose(read -> verifyApplied(read.getCommitIndex()));
   }
 
   /**
-   * MicroRaft 0.7 may answer a question before it applies what was agreed on up to there, as in a
-   * leader that was just elected, with all that it had not known to be agreed on before. So an
-   * answer counts in the turn after, if the record was told of all by then; who asks does so again.
+   * Checks that the record includes all entries up to an index. MicroRaft 0.7 may answer a query
+   * before it applies the entries that are committed up to there, for instance in a leader that was
+   * just elected and had not known of their commit. So the check runs in the next task of the
+   * scheduler and fails if entries are still to be applied; the caller retries.
    */
   protected CompletableFuture<Long> verifyApplied(long index) {
     CompletableFuture<Long> done = new CompletableFuture<>();
     scheduler.execute(
         () -> {
-          if (muted || !store.isTold(index)) {
+          if (stopped || !store.isApplied(index)) {
             done.completeExceptionally(
-                new IllegalStateException("this voter has failed, or applies what was agreed on"));
+                new IllegalStateException(
+                    "this voter has stopped, or has not applied all committed entries yet"));
           } else {
             done.complete(index);
           }
@@ -341,94 +357,102 @@
     return done;
   }
 
-  /** Whether a failed {@link #propose} is certain never to come onto the record. */
+  /** Whether the command of a failed {@link #propose} is certain never to be committed. */
   public static boolean isRefusal(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     return cause instanceof NotLeaderException || cause instanceof CannotReplicateException;
   }
 
   /**
-   * Has a member filled without a vote, as one that is far behind would hold up the others. Done
-   * once that is agreed on, with the entry that says so.
+   * Adds a member as a learner, which receives entries and has no vote: a new voter that is far
+   * behind would delay commits. Completes with the index of the membership change once that is
+   * committed.
    */
   public CompletableFuture<Long> addLearner(VoterId voter) {
-    return change(voter, MembershipChangeMode.ADD_LEARNER).thenApply(Ordered::getCommitIndex);
+    return changeMembership(voter, MembershipChangeMode.ADD_LEARNER)
+        .thenApply(Ordered::getCommitIndex);
   }
 
-  /** Gives one that is filled its vote. */
+  /** Makes a learner a voter. */
   public CompletableFuture<Void> promote(VoterId voter) {
-    return change(voter, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER).thenApply(x -> null);
+    return changeMembership(voter, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER)
+        .thenApply(x -> null);
   }
 
-  /** Has another voter lead; done once it does, as far as this one knows. */
+  /**
+   * Transfers leadership to another voter; completes once that one leads, as far as this voter
+   * knows.
+   */
   public CompletableFuture<Void> transferLeadership(VoterId to) {
     return node.transferLeadership(to).thenApply(x -> null);
   }
 
-  /** Ends a voter's vote. */
+  /** Removes a voter or learner from the group. */
   public CompletableFuture<Void> remove(VoterId voter) {
     if (!node.getEffectiveMembers().getMembers().contains(voter)) {
       return CompletableFuture.completedFuture(null);
     }
-    return change(voter, MembershipChangeMode.REMOVE_MEMBER).thenApply(x -> null);
+    return changeMembership(voter, MembershipChangeMode.REMOVE_MEMBER).thenApply(x -> null);
   }
 
-  private CompletableFuture<Ordered<RaftGroupMembers>> change(
+  private CompletableFuture<Ordered<RaftGroupMembers>> changeMembership(
       VoterId voter, MembershipChangeMode mode) {
     return node.changeMembership(voter, mode, node.getCommittedMembers().getLogIndex());
   }
 
-  /** Ends it at once. */
+  /** Stops the engine at once. */
   public void stop() {
-    muted = true;
+    stopped = true;
     node.terminate();
   }
 
   /**
-   * Ends this voter. From here on nothing leaves: the engine has in memory what the disk lacks, and
-   * would acknowledge it with its next sign of life.
+   * Stops this voter after a failure of its store. No message is sent from then on: the engine
+   * holds entries in memory that are not on the disk, and would acknowledge them with its next
+   * message.
    */
-  protected void storeFailed(IOException why) {
-    if (!muted) {
+  protected void storeFailed(IOException cause) {
+    if (!stopped) {
       stop();
-      owner.storeFailed(why);
+      owner.storeFailed(cause);
     }
   }
 
-  /** The disk has let go of entries that the engine still holds. */
-  private void part() {
+  /** Entries were truncated on the disk that the engine still holds in memory. */
+  private void restartAfterConflict() {
     stop();
-    owner.restartRequired("what was agreed on contradicts entries");
+    owner.restartRequired("committed entries conflict with entries in the local log");
   }
 
   /**
-   * MicroRaft 0.7 throws on turns of its own, such as when it is ended within the one in which it
-   * starts, or hands its lead to a voter that is removed meanwhile; then it would lead on and take
-   * nothing. What it holds in memory is not relied on from then on.
+   * Stops the engine after an exception in one of its own tasks. MicroRaft 0.7 throws there, for
+   * instance, if it is terminated in the task that starts it, or if it transfers leadership to a
+   * voter that is removed meanwhile; in the latter case it would stay the leader and accept no
+   * command. Its state in memory is not used from then on.
    */
-  private void defect(Throwable what) {
-    if (!muted) {
+  private void engineFault(Throwable failure) {
+    if (!stopped) {
       stop();
-      owner.restartRequired(what.toString());
+      owner.restartRequired(failure.toString());
     }
   }
 
-  private void report(RaftNodeReport report) {
-    boolean now =
+  private void onReport(RaftNodeReport report) {
+    boolean isLeaderNow =
         self.equals(report.getTerm().getLeaderEndpoint())
             && !RaftNodeStatus.isTerminal(report.getStatus());
-    if (now != leads) {
-      leads = now;
+    if (isLeaderNow != wasLeader) {
+      wasLeader = isLeaderNow;
       lastLeaderContactNanos = scheduler.nanos();
-      owner.leadershipChanged(now, report.getTerm().getTerm());
+      owner.leadershipChanged(isLeaderNow, report.getTerm().getTerm());
     }
   }
 
-  private final class Mail implements Transport {
+  private final class EngineTransport implements Transport {
     @Override
     public void send(RaftEndpoint to, RaftMessage message) {
-      boolean asksForVotes = message instanceof VoteRequest || message instanceof PreVoteRequest;
-      if (!muted && (!asksForVotes || mayRequestVotes())) {
+      boolean requestsVotes = message instanceof VoteRequest || message instanceof PreVoteRequest;
+      if (!stopped && (!requestsVotes || mayRequestVotes())) {
         owner.send((VoterId) to, Messages.write(message));
       }
     }
@@ -439,44 +463,44 @@
     }
   }
 
-  private final class Machine implements StateMachine {
+  private final class RecordStateMachine implements StateMachine {
     @Override
     public Object runOperation(long index, Object operation) {
-      if (operation == READ) {
+      if (operation == READ_QUERY) {
         return index;
       }
       byte[] entry = (byte[]) operation;
-      CommandResult answer = record.applyEntry(index, entry);
-      applied = index;
-      store.told(index);
+      CommandResult result = record.applyEntry(index, entry);
+      appliedIndex = index;
+      store.markApplied(index);
       owner.entryApplied(index, entry);
-      return answer;
+      return result;
     }
 
     @Override
-    public void takeSnapshot(long index, Consumer<Object> pieces) {
-      // A change of voters is an entry too, of which the machine is not told.
+    public void takeSnapshot(long index, Consumer<Object> chunks) {
+      // Membership changes take an index too, but the state machine is not called for them.
       record.advanceTo(index);
-      pieces.accept(record.bytes());
+      chunks.accept(record.bytes());
     }
 
     @Override
-    public void installSnapshot(long index, List<Object> pieces) {
+    public void installSnapshot(long index, List<Object> chunks) {
       try {
-        record = FleetRecord.read((byte[]) pieces.get(0));
+        record = FleetRecord.read((byte[]) chunks.get(0));
       } catch (MalformedException e) {
-        storeFailed(new IOException("the snapshot up to " + index + " is not readable", e));
+        storeFailed(new IOException("the snapshot up to index " + index + " cannot be decoded", e));
         return;
       }
       record.advanceTo(index);
-      applied = index;
-      store.told(index);
+      appliedIndex = index;
+      store.markApplied(index);
       owner.snapshotInstalled(index);
     }
 
     @Override
     public Object getNewTermOperation() {
-      return NEW_TERM;
+      return NEW_TERM_ENTRY;
     }
   }
 }
--- a/src/main/java/hazelspoke/agreement/engine/EngineExecutor.java
+++ b/src/main/java/hazelspoke/agreement/engine/EngineExecutor.java
@@ -9,24 +9,25 @@
 import java.util.function.Consumer;
 
 /**
- * The engine's time and its turns. MicroRaft counts heartbeats in whole seconds, which is slow
- * within one site; so its second is a part of ours, for its clock and its delays alike.
+ * Clock and executor of the engine. MicroRaft configures heartbeats in whole seconds, which is slow
+ * within one site; so its clock and its delays are scaled, and one of its seconds is shorter than a
+ * real one.
  */
 final class EngineExecutor extends Clock implements RaftNodeExecutor {
   private final Scheduler scheduler;
   private final long secondNanos;
-  private final long begun;
-  private final Consumer<Throwable> onDefect;
+  private final long startNanos;
+  private final Consumer<Throwable> onFault;
 
   /**
-   * @param secondNanos a second of the engine's
-   * @param onDefect hears what the engine throws on a turn of its own, which it never should
+   * @param secondNanos real duration of one second of the engine's clock
+   * @param onFault is given exceptions that the engine's own tasks throw
    */
-  EngineExecutor(Scheduler scheduler, long secondNanos, Consumer<Throwable> onDefect) {
+  EngineExecutor(Scheduler scheduler, long secondNanos, Consumer<Throwable> onFault) {
     this.scheduler = scheduler;
-    this.onDefect = onDefect;
+    this.onFault = onFault;
     this.secondNanos = secondNanos;
-    begun = scheduler.nanos();
+    startNanos = scheduler.nanos();
   }
 
   @Override
@@ -43,7 +44,7 @@
     try {
       task.run();
     } catch (AssertionError | IllegalStateException | NullPointerException e) {
-      onDefect.accept(e);
+      onFault.accept(e);
     }
   }
 
@@ -54,7 +55,7 @@
 
   @Override
   public long millis() {
-    return (long) ((scheduler.nanos() - begun) * 1e3 / secondNanos);
+    return (long) ((scheduler.nanos() - startNanos) * 1e3 / secondNanos);
   }
 
   @Override
--- a/src/main/java/hazelspoke/agreement/engine/Messages.java
+++ b/src/main/java/hazelspoke/agreement/engine/Messages.java
@@ -24,7 +24,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The engine's messages as bytes, and back. */
+/** Encodes and decodes the engine's messages. */
 final class Messages {
   private Messages() {}
 
@@ -37,85 +37,85 @@
     } else if (message instanceof AppendEntriesSuccessResponse m) {
       out.put("is", "appended");
       out.put("last", m.getLastLogIndex());
-      flow(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
+      flowControl(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
     } else if (message instanceof AppendEntriesFailureResponse m) {
       out.put("is", "notAppended");
       out.put("next", m.getExpectedNextIndex());
-      flow(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
+      flowControl(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
     } else if (message instanceof PreVoteRequest m) {
       out.put("is", "preVote");
-      log(out, m.getLastLogTerm(), m.getLastLogIndex());
+      logPosition(out, m.getLastLogTerm(), m.getLastLogIndex());
     } else if (message instanceof PreVoteResponse m) {
       out.put("is", "preVoted");
       out.put("granted", m.isGranted());
     } else if (message instanceof VoteRequest m) {
       out.put("is", "vote");
-      log(out, m.getLastLogTerm(), m.getLastLogIndex());
+      logPosition(out, m.getLastLogTerm(), m.getLastLogIndex());
       out.put("sticky", m.isSticky());
     } else if (message instanceof VoteResponse m) {
       out.put("is", "voted");
       out.put("granted", m.isGranted());
     } else if (message instanceof TriggerLeaderElectionRequest m) {
       out.put("is", "elect");
-      log(out, m.getLastLogTerm(), m.getLastLogIndex());
+      logPosition(out, m.getLastLogTerm(), m.getLastLogIndex());
     } else if (message instanceof InstallSnapshotRequest m) {
       install(out, m);
     } else if (message instanceof InstallSnapshotResponse m) {
       out.put("is", "installed");
       out.put("snapshot", m.getSnapshotIndex());
       out.put("piece", m.getRequestedSnapshotChunkIndex());
-      flow(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
+      flowControl(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
     } else {
-      throw new IllegalArgumentException("unknown message " + message);
+      throw new IllegalArgumentException("unknown type of message: " + message);
     }
     return Cbor.write(out);
   }
 
   private static void append(Map<String, Object> out, AppendEntriesRequest m) {
     out.put("is", "append");
-    log(out, m.getPreviousLogTerm(), m.getPreviousLogIndex());
+    logPosition(out, m.getPreviousLogTerm(), m.getPreviousLogIndex());
     out.put("commit", m.getCommitIndex());
     List<Map<String, Object>> entries = new ArrayList<>();
     for (LogEntry entry : m.getLogEntries()) {
       entries.add(Operations.fields(entry));
     }
     out.put("entries", entries);
-    flow(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
+    flowControl(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
   }
 
   private static void install(Map<String, Object> out, InstallSnapshotRequest m) {
     out.put("is", "install");
     out.put("fromLeader", m.isSenderLeader());
-    log(out, m.getSnapshotTerm(), m.getSnapshotIndex());
+    logPosition(out, m.getSnapshotTerm(), m.getSnapshotIndex());
     out.put("pieces", m.getTotalSnapshotChunkCount());
     if (m.getSnapshotChunk() != null) {
       out.put("piece", Operations.fields(m.getSnapshotChunk()));
     }
     out.put("have", Operations.texts(m.getSnapshottedMembers()));
     out.put("view", Operations.fields(m.getGroupMembersView()));
-    flow(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
+    flowControl(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
   }
 
-  private static void log(Map<String, Object> out, int term, long index) {
+  private static void logPosition(Map<String, Object> out, int term, long index) {
     out.put("logTerm", term);
     out.put("logIndex", index);
   }
 
-  private static void flow(Map<String, Object> out, long query, long flow) {
+  private static void flowControl(Map<String, Object> out, long query, long flow) {
     out.put("query", query);
     out.put("flow", flow);
   }
 
-  static RaftMessage read(byte[] bytes, Object group) throws MalformedException {
+  static RaftMessage read(byte[] bytes, Object groupId) throws MalformedException {
     Fields in = Cbor.read(bytes);
     RaftEndpoint sender = VoterId.parse(in.text("sender"));
     int term = in.nonNegativeInt("term");
     return switch (in.text("is")) {
-      case "append" -> append(in, group, sender, term);
+      case "append" -> append(in, groupId, sender, term);
       case "appended" ->
           MODELS
               .createAppendEntriesSuccessResponseBuilder()
-              .setGroupId(group)
+              .setGroupId(groupId)
               .setSender(sender)
               .setTerm(term)
               .setLastLogIndex(in.number("last"))
@@ -125,7 +125,7 @@
       case "notAppended" ->
           MODELS
               .createAppendEntriesFailureResponseBuilder()
-              .setGroupId(group)
+              .setGroupId(groupId)
               .setSender(sender)
               .setTerm(term)
               .setExpectedNextIndex(in.number("next"))
@@ -135,7 +135,7 @@
       case "preVote" ->
           MODELS
               .createPreVoteRequestBuilder()
-              .setGroupId(group)
+              .setGroupId(groupId)
               .setSender(sender)
               .setTerm(term)
               .setLastLogTerm(in.nonNegativeInt("logTerm"))
@@ -144,7 +144,7 @@
       case "preVoted" ->
           MODELS
               .createPreVoteResponseBuilder()
-              .setGroupId(group)
+              .setGroupId(groupId)
               .setSender(sender)
               .setTerm(term)
               .setGranted(in.bool("granted"))
@@ -152,7 +152,7 @@
       case "vote" ->
           MODELS
               .createVoteRequestBuilder()
-              .setGroupId(group)
+              .setGroupId(groupId)
               .setSender(sender)
               .setTerm(term)
               .setLastLogTerm(in.nonNegativeInt("logTerm"))
@@ -162,7 +162,7 @@
       case "voted" ->
           MODELS
               .createVoteResponseBuilder()
-              .setGroupId(group)
+              .setGroupId(groupId)
               .setSender(sender)
               .setTerm(term)
               .setGranted(in.bool("granted"))
@@ -170,17 +170,17 @@
       case "elect" ->
           MODELS
               .createTriggerLeaderElectionRequestBuilder()
-              .setGroupId(group)
+              .setGroupId(groupId)
               .setSender(sender)
               .setTerm(term)
               .setLastLogTerm(in.nonNegativeInt("logTerm"))
               .setLastLogIndex(in.number("logIndex"))
               .build();
-      case "install" -> install(in, group, sender, term);
+      case "install" -> install(in, groupId, sender, term);
       case "installed" ->
           MODELS
               .createInstallSnapshotResponseBuilder()
-              .setGroupId(group)
+              .setGroupId(groupId)
               .setSender(sender)
               .setTerm(term)
               .setSnapshotIndex(in.number("snapshot"))
@@ -188,11 +188,11 @@
               .setQuerySequenceNumber(in.number("query"))
               .setFlowControlSequenceNumber(in.number("flow"))
               .build();
-      default -> throw new MalformedException("unknown message " + in.text("is"));
+      default -> throw new MalformedException("unknown type of message: " + in.text("is"));
     };
   }
 
-  private static RaftMessage append(Fields in, Object group, RaftEndpoint sender, int term)
+  private static RaftMessage append(Fields in, Object groupId, RaftEndpoint sender, int term)
       throws MalformedException {
     List<LogEntry> entries = new ArrayList<>();
     for (Fields entry : in.list("entries")) {
@@ -200,7 +200,7 @@
     }
     return MODELS
         .createAppendEntriesRequestBuilder()
-        .setGroupId(group)
+        .setGroupId(groupId)
         .setSender(sender)
         .setTerm(term)
         .setPreviousLogTerm(in.nonNegativeInt("logTerm"))
@@ -212,22 +212,22 @@
         .build();
   }
 
-  private static RaftMessage install(Fields in, Object group, RaftEndpoint sender, int term)
+  private static RaftMessage install(Fields in, Object groupId, RaftEndpoint sender, int term)
       throws MalformedException {
     int snapshotTerm = in.nonNegativeInt("logTerm");
     long snapshotIndex = in.number("logIndex");
-    SnapshotChunk piece =
+    SnapshotChunk chunk =
         in.has("piece") ? Operations.chunk(snapshotIndex, snapshotTerm, in.fields("piece")) : null;
     return MODELS
         .createInstallSnapshotRequestBuilder()
-        .setGroupId(group)
+        .setGroupId(groupId)
         .setSender(sender)
         .setTerm(term)
         .setSenderLeader(in.bool("fromLeader"))
         .setSnapshotTerm(snapshotTerm)
         .setSnapshotIndex(snapshotIndex)
         .setTotalSnapshotChunkCount(in.nonNegativeInt("pieces"))
-        .setSnapshotChunk(piece)
+        .setSnapshotChunk(chunk)
         .setSnapshottedMembers(Operations.voters(in.texts("have")))
         .setGroupMembersView(Operations.view(in.fields("view")))
         .setQuerySequenceNumber(in.number("query"))
--- a/src/main/java/hazelspoke/agreement/engine/Operations.java
+++ b/src/main/java/hazelspoke/agreement/engine/Operations.java
@@ -18,16 +18,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the engine's entries and snapshots look like on the wire and on the disk. */
+/** Encodes and decodes the engine's log entries and snapshots, for the wire and for the disk. */
 final class Operations {
   static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
 
-  /** The field of an entry that the record is told of; a change of voters has none. */
+  /** The field of an entry that is applied to the record; a membership change has none. */
   static final String COMMAND = "command";
 
   private Operations() {}
 
-  /** A command's bytes as they are, or a change of voters. */
+  /** The fields of an entry's operation: the bytes of a command, or a membership change. */
   static Map<String, Object> fields(Object operation) {
     Map<String, Object> out = new LinkedHashMap<>();
     if (operation instanceof UpdateRaftGroupMembersOp change) {
@@ -74,7 +74,10 @@
     return entry(in.number("index"), in.nonNegativeInt("term"), read(in));
   }
 
-  /** Of the one piece that a snapshot has here; its index and term stand beside it. */
+  /**
+   * The fields of a snapshot, which always has one chunk; its index and term are stored beside
+   * them.
+   */
   static Map<String, Object> fields(SnapshotChunk chunk) {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("state", chunk.getOperation());
--- a/src/main/java/hazelspoke/agreement/engine/Scheduler.java
+++ b/src/main/java/hazelspoke/agreement/engine/Scheduler.java
@@ -1,13 +1,13 @@
 package hazelspoke.agreement.engine;
 
-/** The one thread that an owner's parts run on, with its clock. */
+/** Runs tasks on one thread, and provides its clock. */
 public interface Scheduler {
-  /** A monotonic clock, in ns; only differences mean anything. */
+  /** A monotonic clock, in ns, with an arbitrary origin. */
   long nanos();
 
-  /** Runs something soon, after what runs now. */
-  void execute(Runnable what);
+  /** Runs a task after the current one. */
+  void execute(Runnable task);
 
-  /** Runs something after so many ns. */
-  void schedule(long nanos, Runnable what);
+  /** Runs a task after a delay. */
+  void schedule(long delayNanos, Runnable task);
 }
--- a/src/main/java/hazelspoke/agreement/engine/VoterId.java
+++ b/src/main/java/hazelspoke/agreement/engine/VoterId.java
@@ -4,11 +4,12 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A voter, as votes and entries name it: a member with one data folder. Who comes back with another
- * folder is another voter, so that it can never vote a second time where the first one has voted.
+ * Identifies a voter in votes and entries: a member together with its data directory. A member that
+ * comes back with another directory is a different voter, so that it can never vote a second time
+ * in a term.
  *
- * @param member its name in the fleet
- * @param storeId the folder's own name
+ * @param member the member's name in the fleet
+ * @param storeId the id of the data directory
  */
 public record VoterId(String member, String storeId) implements RaftEndpoint {
   @Override
@@ -17,14 +18,14 @@
   }
 
   /**
-   * Reads what {@link #toString} has written.
+   * Parses the format of {@link #toString}.
    *
-   * @throws MalformedException if it is none
+   * @throws MalformedException if the text is not of the form MEMBER@STORE
    */
   public static VoterId parse(String text) throws MalformedException {
     int at = text.lastIndexOf('@');
     if (at < 1 || at == text.length() - 1) {
-      throw new MalformedException("no voter: " + text);
+      throw new MalformedException("not a voter id: " + text);
     }
     return new VoterId(text.substring(0, at), text.substring(at + 1));
   }
--- a/src/main/java/hazelspoke/agreement/engine/VoterStore.java
+++ b/src/main/java/hazelspoke/agreement/engine/VoterStore.java
@@ -26,12 +26,12 @@
 import java.util.function.Consumer;
 
 /**
- * The engine's door to the store. The engine logs what its store throws and goes on; a voter must
- * not, so the first failure is told to the owner before it is thrown.
+ * Adapts {@link RecordStore} to MicroRaft. MicroRaft logs exceptions of its store and continues,
+ * which a voter must not do, so the owner is notified of a failure before it is thrown.
  */
 final class VoterStore implements RaftStore {
-  /** A call that may fail. */
-  private interface Call {
+  /** A write to the store. */
+  private interface Write {
     void run() throws IOException;
   }
 
@@ -39,16 +39,18 @@
   private final Consumer<IOException> onFailure;
   private final Runnable onConflict;
 
-  /** The terms of the entries that are kept, by the first index that has each. */
+  /** The terms of the entries in the store, by the first index of each term. */
   private final TreeMap<Long, Integer> terms = new TreeMap<>();
 
   /**
-   * The entries that are kept and that the record is still to be told of, if they are agreed on.
+   * The indexes of commands that are in the store and not applied to the record yet, committed or
+   * not.
    */
-  private final TreeSet<Long> untold = new TreeSet<>();
+  private final TreeSet<Long> unapplied = new TreeSet<>();
 
   /**
-   * @param onConflict is run when the disk has let go of entries that the engine still holds
+   * @param onConflict is run when entries were truncated on the disk that the engine still holds in
+   *     memory
    */
   VoterStore(RecordStore store, Consumer<IOException> onFailure, Runnable onConflict)
       throws MalformedException {
@@ -56,63 +58,65 @@
     this.onFailure = onFailure;
     this.onConflict = onConflict;
     for (Entry entry : store.recovered().entries()) {
-      note(entry.index(), entry.term());
+      recordTerm(entry.index(), entry.term());
       if (Cbor.read(entry.data()).has(Operations.COMMAND)) {
-        untold.add(entry.index());
+        unapplied.add(entry.index());
       }
     }
   }
 
-  /** The record was told of all up to this index. */
-  void told(long index) {
-    untold.headSet(index, true).clear();
+  /** Notes that the record includes all entries up to this index. */
+  void markApplied(long index) {
+    unapplied.headSet(index, true).clear();
   }
 
-  /** Whether the record was told of all that is kept up to this index. */
-  boolean isTold(long index) {
-    return untold.isEmpty() || untold.first() > index;
+  /** Whether all stored commands up to this index have been applied to the record. */
+  boolean isApplied(long index) {
+    return unapplied.isEmpty() || unapplied.first() > index;
   }
 
-  private void note(long index, int term) {
+  private void recordTerm(long index, int term) {
     if (terms.isEmpty() || terms.lastEntry().getValue() != term) {
       terms.put(index, term);
     }
   }
 
   /**
-   * What the engine is to go on from; null if there is nothing yet.
+   * The state to restore the engine from; null if the store is empty.
    *
-   * @param self under whose name it was kept
-   * @param founders the voters at the beginning
-   * @throws MalformedException if an entry is not what an engine has written
+   * @param self the voter that the state belongs to
+   * @param initialVoters the voters that the record was bootstrapped with
+   * @throws MalformedException if an entry or the snapshot cannot be decoded
    */
   static RestoredRaftState restore(
-      RecoveredState from, VoterId self, Collection<RaftEndpoint> founders)
+      RecoveredState recovered, VoterId self, Collection<RaftEndpoint> initialVoters)
       throws MalformedException {
-    if (from.term() == 0 && from.lastIndex() == 0) {
+    if (recovered.term() == 0 && recovered.lastIndex() == 0) {
       return null;
     }
-    RaftGroupMembersView founding = Operations.view(0, founders, founders);
-    Collection<RaftEndpoint> voting = founders;
-    boolean votedAtSnapshot = false;
+    RaftGroupMembersView initialView = Operations.view(0, initialVoters, initialVoters);
+    Collection<RaftEndpoint> voting = initialVoters;
+    boolean votingAtSnapshot = false;
     SnapshotEntry snapshot = null;
-    if (from.snapshot().index() > 0) {
-      Snapshot s = from.snapshot();
-      SnapshotChunk chunk = Operations.chunk(s.index(), s.term(), Cbor.read(s.data()));
+    if (recovered.snapshot().index() > 0) {
+      Snapshot stored = recovered.snapshot();
+      SnapshotChunk chunk =
+          Operations.chunk(stored.index(), stored.term(), Cbor.read(stored.data()));
       voting = chunk.getGroupMembersView().getVotingMembers();
-      // MicroRaft 0.7 begins with these, and fails at once where it would have to change its mind.
-      votedAtSnapshot = voting.contains(self);
+      // MicroRaft 0.7 starts with the snapshot's members, and fails at once if the restored
+      // endpoint's own role differs from them.
+      votingAtSnapshot = voting.contains(self);
       snapshot =
           Operations.MODELS
               .createSnapshotEntryBuilder()
-              .setIndex(s.index())
-              .setTerm(s.term())
+              .setIndex(stored.index())
+              .setTerm(stored.term())
               .setSnapshotChunks(List.of(chunk))
               .setGroupMembersView(chunk.getGroupMembersView())
               .build();
     }
     List<LogEntry> entries = new ArrayList<>();
-    for (Entry entry : from.entries()) {
+    for (Entry entry : recovered.entries()) {
       Object operation = Operations.read(Cbor.read(entry.data()));
       if (operation instanceof UpdateRaftGroupMembersOp change) {
         voting = change.getVotingMembers();
@@ -123,54 +127,55 @@
         Operations.MODELS
             .createRaftEndpointPersistentStateBuilder()
             .setLocalEndpoint(self)
-            .setVoting(votedAtSnapshot || voting.contains(self))
+            .setVoting(votingAtSnapshot || voting.contains(self))
             .build(),
-        founding,
+        initialView,
         Operations.MODELS
             .createRaftTermPersistentStateBuilder()
-            .setTerm(from.term())
-            .setVotedFor(from.votedFor().isEmpty() ? null : VoterId.parse(from.votedFor()))
+            .setTerm(recovered.term())
+            .setVotedFor(
+                recovered.votedFor().isEmpty() ? null : VoterId.parse(recovered.votedFor()))
             .build(),
         snapshot,
         entries);
   }
 
-  /** Whether there are entries behind the snapshot that goes up to this index. */
-  boolean isSnapshotBehindEntries(long index) {
+  /** Whether the snapshot ends at this index and the log has entries after it. */
+  boolean hasEntriesAfterSnapshot(long index) {
     return index > 0 && index == store.snapshotIndex() && index < store.lastIndex();
   }
 
-  /** Whether the entry behind the snapshot, or one after that, has this index and term. */
+  /** Whether the log after the snapshot has an entry of this index and term. */
   boolean has(LogEntry entry) {
     return entry.getIndex() <= store.lastIndex()
         && terms.floorEntry(entry.getIndex()).getValue() == entry.getTerm();
   }
 
-  private void run(Call call) throws IOException {
+  private void run(Write write) throws IOException {
     try {
-      call.run();
+      write.run();
     } catch (IOException e) {
       onFailure.accept(e);
       throw e;
     } catch (IllegalArgumentException e) {
-      IOException refused = new IOException("the engine asked for what must not be", e);
-      onFailure.accept(refused);
-      throw refused;
+      IOException rejected = new IOException("the engine requested an invalid write", e);
+      onFailure.accept(rejected);
+      throw rejected;
     }
   }
 
-  /** Kept by the owner, with the folder's name. */
+  /** Stored by the owner, with the store id. */
   @Override
   public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState self) {}
 
-  /** Kept by the owner, with the folder's name. */
+  /** Stored by the owner, with the store id. */
   @Override
-  public void persistAndFlushInitialGroupMembers(RaftGroupMembersView founders) {}
+  public void persistAndFlushInitialGroupMembers(RaftGroupMembersView initialVoters) {}
 
   @Override
   public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
-    RaftEndpoint vote = term.getVotedFor();
-    run(() -> store.saveVote(term.getTerm(), vote == null ? "" : vote.toString()));
+    RaftEndpoint votedFor = term.getVotedFor();
+    run(() -> store.saveVote(term.getTerm(), votedFor == null ? "" : votedFor.toString()));
   }
 
   @Override
@@ -180,31 +185,31 @@
           for (LogEntry entry : entries) {
             byte[] data = Operations.bytes(Operations.fields(entry.getOperation()));
             store.append(new Entry(entry.getIndex(), entry.getTerm(), data));
-            note(entry.getIndex(), entry.getTerm());
+            recordTerm(entry.getIndex(), entry.getTerm());
             if (entry.getOperation() instanceof byte[]) {
-              untold.add(entry.getIndex());
+              unapplied.add(entry.getIndex());
             }
           }
         });
   }
 
   /**
-   * Keeps a snapshot. One that comes from a leader may contradict what is here: then all from there
-   * on is void (Raft's extended paper, figure 13). MicroRaft 0.7 keeps what lies behind it, and
-   * refuses every entry from then on.
+   * Writes a snapshot. One that comes from a leader may conflict with the local log: then all
+   * entries from its index on are discarded (Raft's extended paper, figure 13). MicroRaft 0.7 keeps
+   * the entries after it, and would reject every entry from then on.
    */
   @Override
   public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
     long index = chunk.getIndex();
-    Map.Entry<Long, Integer> here = terms.floorEntry(index);
+    Map.Entry<Long, Integer> localTerm = terms.floorEntry(index);
     boolean conflict =
-        index <= store.lastIndex() && here != null && here.getValue() != chunk.getTerm();
+        index <= store.lastIndex() && localTerm != null && localTerm.getValue() != chunk.getTerm();
     byte[] data = Operations.bytes(Operations.fields(chunk));
     run(
         () -> {
           if (conflict) {
             store.truncateFrom(index);
-            untold.tailSet(index, true).clear();
+            unapplied.tailSet(index, true).clear();
           }
           store.saveSnapshot(new Snapshot(index, chunk.getTerm(), data));
         });
@@ -217,14 +222,14 @@
   public void truncateLogEntriesFrom(long index) throws IOException {
     run(() -> store.truncateFrom(index));
     terms.tailMap(index, true).clear();
-    untold.tailSet(index, true).clear();
+    unapplied.tailSet(index, true).clear();
   }
 
   /** The store does so with each snapshot. */
   @Override
   public void truncateLogEntriesUntil(long index) {}
 
-  /** A snapshot is of one piece, which takes the place of the one before. */
+  /** A snapshot has one chunk, which replaces the previous snapshot. */
   @Override
   public void deleteSnapshotChunks(long index, int count) {}
 
--- a/src/main/java/hazelspoke/agreement/engine/package-info.java
+++ b/src/main/java/hazelspoke/agreement/engine/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The consensus engine of one voter: MicroRaft behind the store of {@link
- * hazelspoke.agreement.store}, with time, network and randomness given to it from outside. One
- * owner thread; nothing here waits.
+ * The consensus engine of one voter: MicroRaft on top of the store of {@link
+ * hazelspoke.agreement.store}, with clock, transport and random numbers injected. Single-threaded
+ * and non-blocking, apart from writes to the disk.
  */
 package hazelspoke.agreement.engine;
