--- a/src/main/java/hazelspoke/agreement/store/Disk.java
+++ b/src/main/java/hazelspoke/agreement/store/Disk.java
@@ -3,37 +3,39 @@
 import java.io.IOException;
 import java.util.Set;
 
-/** One folder of files, with what a power failure leaves of them said for each call. */
+/** A directory of files. Each method says what is durable, that is, survives a power failure. */
 public interface Disk {
-  /** The names of the files there. */
+  /** The names of the files in the directory. */
   Set<String> list() throws IOException;
 
-  /** All bytes of a file. */
+  /** Reads a complete file. */
   byte[] read(String name) throws IOException;
 
   /**
-   * Makes a new, empty file to be appended to. It outlasts a power failure only after {@link
-   * #syncDirectory}.
+   * Creates a new, empty file for appending. The file is durable only after {@link #syncDirectory}.
    *
-   * @throws java.nio.file.FileAlreadyExistsException if there is one of this name
+   * @throws java.nio.file.FileAlreadyExistsException if a file of this name exists
    */
   Output create(String name) throws IOException;
 
-  /** Gives a file another name, in place of one that has it; as lasting as a new file. */
+  /**
+   * Renames a file and replaces any file that has the new name; durable only after {@link
+   * #syncDirectory}.
+   */
   void rename(String from, String to) throws IOException;
 
-  /** Takes a file away; it may be back after a power failure until the folder is synced. */
+  /** Deletes a file; it may reappear after a power failure until {@link #syncDirectory}. */
   void delete(String name) throws IOException;
 
-  /** Returns once all names made, changed and taken away will outlast a power failure. */
+  /** Returns once all creations, renames and deletions of files are durable. */
   void syncDirectory() throws IOException;
 
-  /** A file that is written. */
+  /** A file that is being written. */
   interface Output extends AutoCloseable {
-    /** Appends bytes, which may be lost, in part or whole, until {@link #sync}. */
+    /** Appends bytes; a power failure may lose some or all of them until {@link #sync}. */
     void write(byte[] bytes) throws IOException;
 
-    /** Returns once all that was written will outlast a power failure. */
+    /** Returns once all bytes written so far are durable. */
     void sync() throws IOException;
 
     @Override
--- a/src/main/java/hazelspoke/agreement/store/Entry.java
+++ b/src/main/java/hazelspoke/agreement/store/Entry.java
@@ -3,23 +3,23 @@
 import java.util.Arrays;
 
 /**
- * One entry of the record.
+ * One entry of the log.
  *
- * @param index from 1 on, with no gap
- * @param term in which a leader made it, 0 or more
- * @param data what it says; neither side changes the array
+ * @param index starts at 1, without gaps
+ * @param term the term of the leader that created it, at least 0
+ * @param data the encoded operation; not copied, so nobody may modify the array
  */
 public record Entry(long index, int term, byte[] data) {
-  /** The longest that an entry may be, in bytes. */
+  /** The maximum size of an entry's data, in bytes. */
   public static final int MAX_BYTES = 1 << 20;
 
   /**
-   * @throws IllegalArgumentException for an index or term out of its range, or too much data
+   * @throws IllegalArgumentException if the index, the term or the size is out of range
    */
   public Entry {
     if (index < 1 || term < 0 || data.length > MAX_BYTES) {
       throw new IllegalArgumentException(
-          "no entry: index " + index + ", term " + term + ", " + data.length + " bytes");
+          "invalid entry: index " + index + ", term " + term + ", " + data.length + " bytes");
     }
   }
 
--- a/src/main/java/hazelspoke/agreement/store/FileDisk.java
+++ b/src/main/java/hazelspoke/agreement/store/FileDisk.java
@@ -11,18 +11,18 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** A folder of the system's. */
+/** A directory of the file system. */
 public final class FileDisk implements Disk {
-  private final Path folder;
+  private final Path directory;
 
-  /** The folder is made if it is not there. */
-  public FileDisk(Path folder) throws IOException {
-    this.folder = Files.createDirectories(folder);
+  /** Creates the directory if it does not exist. */
+  public FileDisk(Path directory) throws IOException {
+    this.directory = Files.createDirectories(directory);
   }
 
   @Override
   public Set<String> list() throws IOException {
-    try (Stream<Path> files = Files.list(folder)) {
+    try (Stream<Path> files = Files.list(directory)) {
       return files
           .filter(Files::isRegularFile)
           .map(file -> file.getFileName().toString())
@@ -32,26 +32,26 @@
 
   @Override
   public byte[] read(String name) throws IOException {
-    return Files.readAllBytes(folder.resolve(name));
+    return Files.readAllBytes(directory.resolve(name));
   }
 
   @Override
   public Output create(String name) throws IOException {
     FileChannel channel =
         FileChannel.open(
-            folder.resolve(name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+            directory.resolve(name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
     return new Output() {
       @Override
       public void write(byte[] bytes) throws IOException {
-        ByteBuffer rest = ByteBuffer.wrap(bytes);
-        while (rest.hasRemaining()) {
-          channel.write(rest);
+        ByteBuffer remaining = ByteBuffer.wrap(bytes);
+        while (remaining.hasRemaining()) {
+          channel.write(remaining);
         }
       }
 
       @Override
       public void sync() throws IOException {
-        // With the length of the file, which is not part of its data.
+        // Includes metadata: the length of the file has to be durable too.
         channel.force(true);
       }
 
@@ -64,17 +64,17 @@
 
   @Override
   public void rename(String from, String to) throws IOException {
-    Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
   }
 
   @Override
   public void delete(String name) throws IOException {
-    Files.delete(folder.resolve(name));
+    Files.delete(directory.resolve(name));
   }
 
   @Override
   public void syncDirectory() throws IOException {
-    try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+    try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
       channel.force(true);
     }
   }
--- a/src/main/java/hazelspoke/agreement/store/Frame.java
+++ b/src/main/java/hazelspoke/agreement/store/Frame.java
@@ -5,52 +5,56 @@
 import java.util.zip.CRC32C;
 
 /**
- * One thing written to a segment or a snapshot:
+ * Encodes and decodes the frames of segments and snapshots:
  *
  * <pre>
- *   length of the body (4) | CRC32C of these 4 bytes and of the place (4) |
+ *   length of the body (4) | CRC32C of these 4 bytes and of the frame's offset (4) |
  *   CRC32C of the body (4) | body | end mark (1)
  * </pre>
  *
- * The length has a sum of its own, or a flipped bit in it would look like a frame that the file's
- * end has cut, which is no damage. The place goes into it, so that a frame that was written
- * elsewhere is not taken for one. The end mark is never 0: files are not made longer ahead of
- * writing, so what a power failure has kept from being written is cut off or reads as zeros.
+ * The length has a checksum of its own; otherwise a flipped bit in it could not be told from a
+ * frame that is truncated by the end of the file, which is not damage. That checksum covers the
+ * frame's offset in the file too, so that a frame written elsewhere is not accepted. The end mark
+ * is never 0: files are not extended ahead of writing, so bytes that a power failure kept from
+ * being written are either missing or read as zeros.
  */
 final class Frame {
-  /** What a frame says. */
+  /** The kind of a frame; stored as its ordinal. */
   enum Kind {
-    /** Begins a segment: its number, the one before it and how much of that holds, term, vote. */
+    /**
+     * Header of a segment: its number, the number and the valid length of the previous segment, the
+     * term and the vote.
+     */
     SEGMENT,
     /** Term and vote. */
     VOTE,
     /** An entry. */
     ENTRY,
-    /** All entries from an index on are void. */
+    /** Discards all entries from an index on. */
     CUT,
-    /** A snapshot stands for all entries up to an index, also those that were never here. */
+    /** A snapshot replaces all entries up to an index, even ones that were never in this log. */
     BASE,
     /** A snapshot itself. */
     SNAPSHOT
   }
 
-  private static final int HEAD_BYTES = 12;
-  private static final byte END = (byte) 0xA5;
+  private static final int HEADER_BYTES = 12;
+  private static final byte END_MARK = (byte) 0xA5;
 
-  /** What is at a place of a file. */
-  enum Found {
-    /** A whole frame. */
+  /** The result of reading the next frame. */
+  enum ReadResult {
+    /** A complete, valid frame. */
     WHOLE,
     /** The end of the file. */
     NOTHING,
-    /** The beginning of one, or nothing but zeros. */
+    /** The beginning of a frame, or only zeros. */
     TORN,
-    /** Neither. */
+    /** Anything else. */
     DAMAGED
   }
 
   private final byte[] file;
-  private int at;
+  private int offset;
   private ByteBuffer body;
 
   /** Reads a file from its beginning. */
@@ -58,29 +62,29 @@
     this.file = file;
   }
 
-  /** Where the next frame is looked for. */
-  int at() {
-    return at;
+  /** The offset of the next frame to read. */
+  int offset() {
+    return offset;
   }
 
-  /** The body of the frame found last, behind its kind. */
+  /** The body of the last frame read, positioned after its kind. */
   ByteBuffer body() {
     return body;
   }
 
-  /** The bytes of one frame. */
-  static byte[] of(Kind kind, long at, byte[]... parts) {
+  /** Encodes a frame that is to be written at an offset. */
+  static byte[] encode(Kind kind, long offset, byte[]... parts) {
     int length = 1;
     for (byte[] part : parts) {
       length += part.length;
     }
-    ByteBuffer out = ByteBuffer.allocate(HEAD_BYTES + length + 1);
-    out.putInt(length).putInt(headSum(length, at)).putInt(0).put((byte) kind.ordinal());
+    ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + length + 1);
+    out.putInt(length).putInt(headerChecksum(length, offset)).putInt(0).put((byte) kind.ordinal());
     for (byte[] part : parts) {
       out.put(part);
     }
-    out.putInt(8, sum(out.array(), HEAD_BYTES, length));
-    return out.put(END).array();
+    out.putInt(8, checksum(out.array(), HEADER_BYTES, length));
+    return out.put(END_MARK).array();
   }
 
   static byte[] numbers(long... numbers) {
@@ -99,65 +103,67 @@
     return StandardCharsets.UTF_8.decode(body).toString();
   }
 
-  static byte[] rest(ByteBuffer body) {
+  static byte[] remaining(ByteBuffer body) {
     byte[] out = new byte[body.remaining()];
     body.get(out);
     return out;
   }
 
-  /** Looks at the next place, and goes on behind a whole frame. */
-  Found next() {
-    int left = file.length - at;
-    if (left == 0) {
-      return Found.NOTHING;
+  /** Reads the next frame, and advances past it if it is complete. */
+  ReadResult next() {
+    int remaining = file.length - offset;
+    if (remaining == 0) {
+      return ReadResult.NOTHING;
     }
-    if (left < HEAD_BYTES) {
-      // What was synced is whole frames: no flipped bit leaves a file with less.
-      return Found.TORN;
+    if (remaining < HEADER_BYTES) {
+      // Synced data consists of complete frames, and a flipped bit does not shorten a file.
+      return ReadResult.TORN;
     }
-    ByteBuffer head = ByteBuffer.wrap(file, at, HEAD_BYTES);
-    int length = head.getInt();
-    if (head.getInt() != headSum(length, at)) {
-      return tornIfZerosFrom(at + HEAD_BYTES);
+    ByteBuffer header = ByteBuffer.wrap(file, offset, HEADER_BYTES);
+    int length = header.getInt();
+    if (header.getInt() != headerChecksum(length, offset)) {
+      return tornIfZerosFrom(offset + HEADER_BYTES);
     }
-    int bodySum = head.getInt();
-    if (length < 1 || length > left - HEAD_BYTES - 1) {
-      return Found.TORN;
+    int bodyChecksum = header.getInt();
+    if (length < 1 || length > remaining - HEADER_BYTES - 1) {
+      return ReadResult.TORN;
     }
-    int from = at + HEAD_BYTES;
-    if (sum(file, from, length) != bodySum) {
-      return tornIfZerosFrom(from + length);
+    int start = offset + HEADER_BYTES;
+    if (checksum(file, start, length) != bodyChecksum) {
+      return tornIfZerosFrom(start + length);
     }
-    body = ByteBuffer.wrap(file, from, length).slice();
-    at = from + length + 1;
-    return Found.WHOLE;
+    body = ByteBuffer.wrap(file, start, length).slice();
+    offset = start + length + 1;
+    return ReadResult.WHOLE;
   }
 
-  /** What was written to its end has an end mark, whatever became of the rest. */
-  private Found tornIfZerosFrom(int from) {
-    for (int i = from; i < file.length; i++) {
+  /**
+   * A frame that was completely written has its end mark, even if the bytes before it are damaged.
+   */
+  private ReadResult tornIfZerosFrom(int start) {
+    for (int i = start; i < file.length; i++) {
       if (file[i] != 0) {
-        return Found.DAMAGED;
+        return ReadResult.DAMAGED;
       }
     }
-    return Found.TORN;
+    return ReadResult.TORN;
   }
 
-  /** The kind of the frame found last; null for one of a later version. */
+  /** The kind of the last frame read; null for one of a later version. */
   Kind kind() {
     int ordinal = body.get();
     return ordinal >= 0 && ordinal < Kind.values().length ? Kind.values()[ordinal] : null;
   }
 
-  private static int headSum(int length, long at) {
+  private static int headerChecksum(int length, long offset) {
     CRC32C crc = new CRC32C();
-    crc.update(ByteBuffer.allocate(12).putInt(length).putLong(at).flip());
+    crc.update(ByteBuffer.allocate(12).putInt(length).putLong(offset).flip());
     return (int) crc.getValue();
   }
 
-  private static int sum(byte[] bytes, int from, int length) {
+  private static int checksum(byte[] bytes, int start, int length) {
     CRC32C crc = new CRC32C();
-    crc.update(bytes, from, length);
+    crc.update(bytes, start, length);
     return (int) crc.getValue();
   }
 }
--- a/src/main/java/hazelspoke/agreement/store/RecordStore.java
+++ b/src/main/java/hazelspoke/agreement/store/RecordStore.java
@@ -12,25 +12,25 @@
 import java.util.TreeMap;
 
 /**
- * The durable memory of one voter; see the package. What a call has promised when it returns holds
- * through any crash; what was called before it holds then as well, in order.
+ * The durable state of one voter; see the package. Whatever a call guarantees to be durable when it
+ * returns survives any crash, and so does every earlier write, in order.
  *
- * <p>After any {@link IOException} the store has failed: what it holds is still on the disk as far
- * as it was promised, and every further call fails at once. Whoever owns it steps down.
+ * <p>After any {@link IOException} the store has failed: durable data is still on the disk, and
+ * every further call fails at once. The owner has to stop voting and acknowledging.
  */
 public final class RecordStore implements AutoCloseable {
-  /** From this size on the next frame begins another segment. */
+  /** A segment that has reached this size is closed before the next frame is written. */
   static final int SEGMENT_BYTES = 4 << 20;
 
   private static final String SEGMENT = "segment-";
   private static final String SNAPSHOT = "snapshot-";
-  private static final String ASIDE = "aside-";
+  private static final String TEMPORARY = "aside-";
 
   private final Disk disk;
   private final int segmentBytes;
 
-  /** The last index that each closed segment mentions, by its number. */
-  private final TreeMap<Long, Long> closed = new TreeMap<>();
+  /** The highest index in each closed segment, by the segment's number. */
+  private final TreeMap<Long, Long> closedSegments = new TreeMap<>();
 
   private RecoveredState recovered;
   private int term;
@@ -39,8 +39,8 @@
   private long lastIndex;
   private Disk.Output out;
   private long number;
-  private long written;
-  private long mentions;
+  private long segmentLength;
+  private long highestIndex;
   private boolean unsynced;
   private IOException failure;
 
@@ -49,16 +49,17 @@
     this.segmentBytes = segmentBytes;
   }
 
-  /** Whether a folder holds a store, whole or not. */
+  /** Whether a directory contains a store, complete or not. */
   public static boolean existsIn(Disk disk) throws IOException {
     return disk.list().stream().anyMatch(f -> f.startsWith(SEGMENT) || f.startsWith(SNAPSHOT));
   }
 
   /**
-   * Opens what is there, or begins anew in an empty folder. Nobody else may use the folder.
+   * Opens the store of a directory, or creates one in an empty directory. Nobody else may use the
+   * directory.
    *
-   * @throws StoreDamagedException if what is there is not what was synced
-   * @throws IOException if the disk fails; what is there is as it was
+   * @throws StoreDamagedException if the files differ from what was synced
+   * @throws IOException if the disk fails; durable data is unchanged
    */
   public static RecordStore open(Disk disk) throws IOException, StoreDamagedException {
     return open(disk, SEGMENT_BYTES);
@@ -70,32 +71,31 @@
     return store;
   }
 
-  /** What was there at opening. */
+  /** The state that was found when the store was opened. */
   public RecoveredState recovered() {
     return recovered;
   }
 
-  /** The index that the snapshot goes up to; 0 for none. */
+  /** The index of the last entry that the snapshot includes; 0 if there is no snapshot. */
   public long snapshotIndex() {
     return snapshotIndex;
   }
 
-  /** The index of the last entry, in the snapshot or after it; 0 before the first. */
+  /** The index of the last entry, in the snapshot or after it; 0 if there is none. */
   public long lastIndex() {
     return lastIndex;
   }
 
   /**
-   * Keeps the term, and whom its owner votes for in it. Lasting when this returns: only then may a
-   * vote leave.
+   * Stores the term and the vote in it. Durable when this returns; a vote must not be sent before.
    *
-   * @param newTerm the term that its owner is in now
-   * @param newVote empty for nobody yet
-   * @throws IllegalArgumentException for a term that has passed, or a second vote in one term
+   * @param newTerm the owner's current term
+   * @param newVote empty if the owner has not voted in this term
+   * @throws IllegalArgumentException for an earlier term, or a second vote in one term
    */
   public void saveVote(int newTerm, String newVote) throws IOException {
-    boolean second = newTerm == term && !votedFor.isEmpty() && !votedFor.equals(newVote);
-    if (newTerm < term || second) {
+    boolean secondVote = newTerm == term && !votedFor.isEmpty() && !votedFor.equals(newVote);
+    if (newTerm < term || secondVote) {
       throw new IllegalArgumentException(
           "term " + newTerm + " for " + newVote + " after term " + term + " for " + votedFor);
     }
@@ -106,28 +106,29 @@
   }
 
   /**
-   * Adds an entry. Lasting after {@link #sync}: only then may it be acknowledged.
+   * Appends an entry. Durable after {@link #sync}; it must not be acknowledged before.
    *
-   * @throws IllegalArgumentException if it is not the next one
+   * @throws IllegalArgumentException if it does not follow the last entry
    */
   public void append(Entry entry) throws IOException {
     if (entry.index() != lastIndex + 1) {
       throw new IllegalArgumentException(entry + " does not follow " + lastIndex);
     }
     write(Frame.Kind.ENTRY, Frame.numbers(entry.index(), entry.term()), entry.data());
-    // Of the segment that it went to, which may have begun with it.
-    mentions = Math.max(mentions, entry.index());
+    // Only now, as the write may have started a new segment, to which the entry then belongs.
+    highestIndex = Math.max(highestIndex, entry.index());
     lastIndex = entry.index();
   }
 
   /**
-   * Voids the entries from this one on; as lasting as an entry.
+   * Discards the entries from this index on; durable after {@link #sync}.
    *
-   * @throws IllegalArgumentException if the snapshot stands for that one already
+   * @throws IllegalArgumentException if the snapshot includes this index
    */
   public void truncateFrom(long index) throws IOException {
     if (index <= snapshotIndex) {
-      throw new IllegalArgumentException(index + " is in the snapshot up to " + snapshotIndex);
+      throw new IllegalArgumentException(
+          index + " is included in the snapshot up to " + snapshotIndex);
     }
     if (index <= lastIndex) {
       write(Frame.Kind.CUT, Frame.numbers(index));
@@ -135,9 +136,9 @@
     }
   }
 
-  /** Returns once all that was written before is lasting. */
+  /** Returns once all earlier writes are durable. */
   public void sync() throws IOException {
-    check();
+    checkNotFailed();
     if (unsynced) {
       try {
         out.sync();
@@ -149,53 +150,57 @@
   }
 
   /**
-   * Puts a snapshot in the place of all entries up to its index, also of such as were never here:
-   * then those that were are void. Lasting when this returns, and what was written before as well.
+   * Replaces all entries up to an index by a snapshot. If the log ends before that index, all its
+   * entries are discarded. Durable when this returns, together with all earlier writes.
    *
-   * @throws IllegalArgumentException if a later one is there
+   * @throws IllegalArgumentException if the store has this snapshot or a later one
    */
   public void saveSnapshot(Snapshot snapshot) throws IOException {
     if (snapshot.index() <= snapshotIndex) {
-      throw new IllegalArgumentException(snapshot + " after one up to " + snapshotIndex);
+      throw new IllegalArgumentException(
+          snapshot + " does not follow the snapshot up to " + snapshotIndex);
     }
     sync();
     byte[] numbers = Frame.numbers(snapshot.index(), snapshot.term());
     try {
-      put(
+      writeFile(
           SNAPSHOT + name(snapshot.index()),
-          Frame.of(Frame.Kind.SNAPSHOT, 0, numbers, snapshot.data()));
+          Frame.encode(Frame.Kind.SNAPSHOT, 0, numbers, snapshot.data()));
     } catch (IOException e) {
       throw failed(e);
     }
-    long before = snapshotIndex;
+    long previousIndex = snapshotIndex;
     snapshotIndex = snapshot.index();
     lastIndex = Math.max(lastIndex, snapshotIndex);
     write(Frame.Kind.BASE, Frame.numbers(snapshotIndex));
-    mentions = Math.max(mentions, snapshotIndex);
+    highestIndex = Math.max(highestIndex, snapshotIndex);
     sync();
-    forget(before);
+    deleteReplacedFiles(previousIndex);
   }
 
-  /** Writes a whole file aside, and gives it its name once all of it is lasting. */
-  private void put(String name, byte[] bytes) throws IOException {
-    try (Disk.Output aside = disk.create(ASIDE + name)) {
-      aside.write(bytes);
-      aside.sync();
+  /** Writes a file under a temporary name, and renames it once all of it is durable. */
+  private void writeFile(String name, byte[] bytes) throws IOException {
+    try (Disk.Output file = disk.create(TEMPORARY + name)) {
+      file.write(bytes);
+      file.sync();
     }
-    disk.rename(ASIDE + name, name);
+    disk.rename(TEMPORARY + name, name);
     disk.syncDirectory();
   }
 
-  /** Takes away what the snapshot stands for; what is left of it after a crash goes later. */
-  private void forget(long snapshotBefore) throws IOException {
+  /**
+   * Deletes the files that the snapshot replaces; files that a crash leaves behind are deleted when
+   * the store is opened.
+   */
+  private void deleteReplacedFiles(long previousIndex) throws IOException {
     try {
-      if (snapshotBefore > 0) {
-        disk.delete(SNAPSHOT + name(snapshotBefore));
+      if (previousIndex > 0) {
+        disk.delete(SNAPSHOT + name(previousIndex));
       }
-      while (!closed.isEmpty() && closed.firstEntry().getValue() <= snapshotIndex) {
-        disk.delete(SEGMENT + name(closed.firstKey()));
-        closed.pollFirstEntry();
-        // One after the other: a segment must not outlast the one before it.
+      while (!closedSegments.isEmpty() && closedSegments.firstEntry().getValue() <= snapshotIndex) {
+        disk.delete(SEGMENT + name(closedSegments.firstKey()));
+        closedSegments.pollFirstEntry();
+        // One by one: an older segment must not reappear when a newer one is gone.
         disk.syncDirectory();
       }
     } catch (IOException e) {
@@ -209,44 +214,47 @@
   }
 
   private void write(Frame.Kind kind, byte[]... parts) throws IOException {
-    check();
+    checkNotFailed();
     try {
-      if (written >= segmentBytes) {
+      if (segmentLength >= segmentBytes) {
         out.sync();
         unsynced = false;
         out.close();
-        closed.put(number, mentions);
-        begin(number, written);
+        closedSegments.put(number, highestIndex);
+        startSegment(number, segmentLength);
       }
-      byte[] frame = Frame.of(kind, written, parts);
+      byte[] frame = Frame.encode(kind, segmentLength, parts);
       out.write(frame);
-      written += frame.length;
+      segmentLength += frame.length;
       unsynced = true;
     } catch (IOException e) {
       throw failed(e);
     }
   }
 
-  /** Begins a segment behind another, of which so many bytes hold; lasting when this returns. */
-  private void begin(long before, long holds) throws IOException {
-    number = before + 1;
-    mentions = snapshotIndex;
+  /**
+   * Starts the segment after another one, of which the given number of bytes is valid; durable when
+   * this returns.
+   */
+  private void startSegment(long previous, long previousLength) throws IOException {
+    number = previous + 1;
+    highestIndex = snapshotIndex;
     out = disk.create(SEGMENT + name(number));
-    byte[] head =
-        Frame.of(
+    byte[] header =
+        Frame.encode(
             Frame.Kind.SEGMENT,
             0,
-            Frame.numbers(number, before, holds, term),
+            Frame.numbers(number, previous, previousLength, term),
             Frame.text(votedFor));
-    out.write(head);
+    out.write(header);
     out.sync();
     disk.syncDirectory();
-    written = head.length;
+    segmentLength = header.length;
   }
 
-  private void check() throws IOException {
+  private void checkNotFailed() throws IOException {
     if (failure != null) {
-      throw new IOException("the store has failed before", failure);
+      throw new IOException("the store has already failed", failure);
     }
   }
 
@@ -262,7 +270,7 @@
   private void recover() throws IOException, StoreDamagedException {
     Set<String> files = disk.list();
     for (String file : files) {
-      if (file.startsWith(ASIDE)) {
+      if (file.startsWith(TEMPORARY)) {
         disk.delete(file);
       }
     }
@@ -276,40 +284,48 @@
     term = segments.term;
     votedFor = segments.votedFor;
     lastIndex = segments.lastIndex();
-    closed.putAll(segments.mentions);
+    closedSegments.putAll(segments.highestIndexes);
     recovered =
         new RecoveredState(
-            term, votedFor, snapshot, new ArrayList<>(segments.entries.values()), segments.cut);
-    for (String empty : segments.headless) {
-      disk.delete(empty);
+            term,
+            votedFor,
+            snapshot,
+            new ArrayList<>(segments.entries.values()),
+            segments.truncatedBytes);
+    for (String name : segments.withoutHeader) {
+      disk.delete(name);
     }
     disk.syncDirectory();
     if (segments.number > 0) {
-      // Read from the system's memory, and perhaps not on the disk: a process that ended before it
-      // had synced, or after a sync had failed, leaves pages that count as clean. Written anew,
-      // they are dirty again.
-      put(SEGMENT + name(segments.number), segments.newest());
+      // The bytes were read from the page cache and may not be on the disk: a process that ended
+      // before a sync, or after a failed one, can leave pages that count as clean. Writing them
+      // again makes them dirty.
+      writeFile(SEGMENT + name(segments.number), segments.newest());
     }
-    begin(segments.number, segments.holds);
+    startSegment(segments.number, segments.validLength);
     if (snapshotIndex > 0) {
-      // A crash may have kept this from being written, and what follows is counted from it.
+      // A crash may have come before this frame was written, and later indexes are checked against
+      // it.
       write(Frame.Kind.BASE, Frame.numbers(snapshotIndex));
       sync();
     }
-    forgetOlder(files, snapshot);
+    deleteOlderFiles(files, snapshot);
   }
 
-  /** What a crash has kept an earlier snapshot from taking away. */
-  private void forgetOlder(Set<String> files, Snapshot newest) throws IOException {
+  /** Deletes files that a crash left behind after an earlier snapshot. */
+  private void deleteOlderFiles(Set<String> files, Snapshot newest) throws IOException {
     for (String file : files) {
       if (file.startsWith(SNAPSHOT) && !file.equals(SNAPSHOT + name(newest.index()))) {
         disk.delete(file);
       }
     }
-    forget(0);
+    deleteReplacedFiles(0);
   }
 
-  /** Renamed only once it was synced, so whatever has the name of one was whole. */
+  /**
+   * A snapshot is renamed only after it was synced, so a file with a snapshot's name was complete
+   * once.
+   */
   private Snapshot newestSnapshot(Set<String> files) throws IOException, StoreDamagedException {
     String newest =
         files.stream().filter(f -> f.startsWith(SNAPSHOT)).max(String::compareTo).orElse(null);
@@ -317,96 +333,100 @@
       return Snapshot.NONE;
     }
     Frame frame = new Frame(disk.read(newest));
-    if (frame.next() != Frame.Found.WHOLE || frame.kind() != Frame.Kind.SNAPSHOT) {
-      throw new StoreDamagedException(newest, 0, "this snapshot is not whole");
+    if (frame.next() != Frame.ReadResult.WHOLE || frame.kind() != Frame.Kind.SNAPSHOT) {
+      throw new StoreDamagedException(newest, 0, "this snapshot is incomplete");
     }
     ByteBuffer body = frame.body();
     long index = body.getLong();
-    return new Snapshot(index, (int) body.getLong(), Frame.rest(body));
+    return new Snapshot(index, (int) body.getLong(), Frame.remaining(body));
   }
 
-  /** Reads the segments, oldest first. */
+  /** Reads the segments, oldest first, and checks that they are consistent. */
   private static final class Segments {
     private final Disk disk;
-    private final long base;
+    private final long snapshotIndex;
     private final TreeMap<Long, Entry> entries = new TreeMap<>();
-    private final Map<Long, Long> mentions = new TreeMap<>();
-    private final List<String> headless = new ArrayList<>();
+    private final Map<Long, Long> highestIndexes = new TreeMap<>();
+    private final List<String> withoutHeader = new ArrayList<>();
     private int term;
     private String votedFor = "";
     private long number;
-    private long holds;
-    private long cut;
-    private long next = -1;
+    private long validLength;
+    private long truncatedBytes;
+    private long nextIndex = -1;
     private String file = "";
     private long damagedAt = -1;
     private byte[] bytes;
 
-    Segments(Disk disk, long base) {
+    Segments(Disk disk, long snapshotIndex) {
       this.disk = disk;
-      this.base = base;
+      this.snapshotIndex = snapshotIndex;
     }
 
-    /** What holds of the newest one. */
+    /** The valid bytes of the newest segment. */
     byte[] newest() {
-      return Arrays.copyOf(bytes, (int) holds);
+      return Arrays.copyOf(bytes, (int) validLength);
     }
 
     void read(String name) throws IOException, StoreDamagedException {
       byte[] read = disk.read(name);
       Frame frame = new Frame(read);
-      Frame.Found found = frame.next();
-      if (found == Frame.Found.TORN || found == Frame.Found.NOTHING) {
-        // Its head was never synced, so nothing was written behind it; one more may follow.
-        headless.add(name);
+      Frame.ReadResult result = frame.next();
+      if (result == Frame.ReadResult.TORN || result == Frame.ReadResult.NOTHING) {
+        // Its header was never synced, so nothing was written after it. Another such segment may
+        // follow.
+        withoutHeader.add(name);
         return;
       }
-      if (found == Frame.Found.DAMAGED || frame.kind() != Frame.Kind.SEGMENT) {
-        throw new StoreDamagedException(name, 0, "this is no beginning of a segment");
+      if (result == Frame.ReadResult.DAMAGED || frame.kind() != Frame.Kind.SEGMENT) {
+        throw new StoreDamagedException(name, 0, "this is not the header of a segment");
       }
-      ByteBuffer head = frame.body();
-      long own = head.getLong();
-      long before = head.getLong();
-      long beforeHolds = head.getLong();
+      ByteBuffer header = frame.body();
+      long ownNumber = header.getLong();
+      long previous = header.getLong();
+      long previousLength = header.getLong();
       if (number > 0) {
-        endBefore(before, beforeHolds);
+        checkPredecessor(previous, previousLength);
       }
-      term = (int) head.getLong();
-      votedFor = Frame.text(head);
-      number = own;
+      term = (int) header.getLong();
+      votedFor = Frame.text(header);
+      number = ownNumber;
       file = name;
       bytes = read;
       damagedAt = -1;
-      mentions.put(own, base);
-      frames(frame);
+      highestIndexes.put(ownNumber, snapshotIndex);
+      readFrames(frame);
     }
 
-    /** The one read before has to be the one that this follows, and whole as far as it says. */
-    private void endBefore(long before, long beforeHolds) throws StoreDamagedException {
-      if (before != number) {
+    /**
+     * Checks that the segment read before is the predecessor that a header names, and has its valid
+     * length.
+     */
+    private void checkPredecessor(long previous, long previousLength) throws StoreDamagedException {
+      if (previous != number) {
         throw new StoreDamagedException(
             file, bytes.length, "the segment after this one is missing");
       }
-      if (holds < beforeHolds) {
-        throw new StoreDamagedException(file, holds, "this is not whole");
+      if (validLength < previousLength) {
+        throw new StoreDamagedException(file, validLength, "this segment is incomplete");
       }
-      cut = 0;
+      truncatedBytes = 0;
     }
 
-    private void frames(Frame frame) throws StoreDamagedException {
+    private void readFrames(Frame frame) throws StoreDamagedException {
       while (true) {
-        holds = frame.at();
+        validLength = frame.offset();
         switch (frame.next()) {
           case WHOLE -> apply(frame);
           case NOTHING -> {
             return;
           }
           case TORN -> {
-            cut = bytes.length - holds;
+            truncatedBytes = bytes.length - validLength;
             return;
           }
           case DAMAGED -> {
-            damagedAt = holds;
+            damagedAt = validLength;
             return;
           }
         }
@@ -416,7 +436,7 @@
     private void apply(Frame frame) throws StoreDamagedException {
       Frame.Kind kind = frame.kind();
       if (kind == null) {
-        throw new StoreDamagedException(file, holds, "written by a later version");
+        throw new StoreDamagedException(file, validLength, "written by a later version");
       }
       ByteBuffer body = frame.body();
       try {
@@ -425,61 +445,69 @@
             term = (int) body.getLong();
             votedFor = Frame.text(body);
           }
-          case ENTRY -> entry(body.getLong(), (int) body.getLong(), body);
+          case ENTRY -> addEntry(body.getLong(), (int) body.getLong(), body);
           case CUT -> {
             long from = body.getLong();
             entries.tailMap(from, true).clear();
-            next = from;
+            nextIndex = from;
           }
           case BASE -> {
             long index = body.getLong();
             entries.headMap(index, true).clear();
-            if (next >= 0) {
-              // Else what came before it is gone, and may have gone further.
-              next = Math.max(next, index + 1);
+            if (nextIndex >= 0) {
+              // Otherwise the segments before it have been deleted, and their entries may have gone
+              // beyond this index.
+              nextIndex = Math.max(nextIndex, index + 1);
             }
-            mention(index);
+            noteIndex(index);
           }
-          default -> throw new StoreDamagedException(file, holds, "a " + kind + " in a segment");
+          default ->
+              throw new StoreDamagedException(
+                  file, validLength, "unexpected " + kind + " frame in a segment");
         }
       } catch (BufferUnderflowException | IllegalArgumentException e) {
-        throw new StoreDamagedException(file, holds, "a " + kind + " that is none");
+        throw new StoreDamagedException(file, validLength, "malformed " + kind + " frame");
       }
     }
 
-    private void entry(long index, int entryTerm, ByteBuffer body) throws StoreDamagedException {
-      if (next >= 0 && index != next) {
+    private void addEntry(long index, int entryTerm, ByteBuffer body) throws StoreDamagedException {
+      if (nextIndex >= 0 && index != nextIndex) {
         throw new StoreDamagedException(
-            file, holds, "entry " + index + " where " + next + " was expected");
+            file, validLength, "entry " + index + " where " + nextIndex + " was expected");
       }
-      next = index + 1;
-      mention(index);
-      if (index > base) {
-        entries.put(index, new Entry(index, entryTerm, Frame.rest(body)));
+      nextIndex = index + 1;
+      noteIndex(index);
+      if (index > snapshotIndex) {
+        entries.put(index, new Entry(index, entryTerm, Frame.remaining(body)));
       }
     }
 
-    private void mention(long index) {
-      mentions.merge(number, index, Math::max);
+    private void noteIndex(long index) {
+      highestIndexes.merge(number, index, Math::max);
     }
 
     void finish() throws StoreDamagedException {
       if (damagedAt >= 0) {
-        throw new StoreDamagedException(file, damagedAt, "this is not what was written");
+        throw new StoreDamagedException(file, damagedAt, "the data differs from what was written");
       }
-      if (!entries.isEmpty() && entries.firstKey() != base + 1) {
+      if (!entries.isEmpty() && entries.firstKey() != snapshotIndex + 1) {
         throw new StoreDamagedException(
             file,
             0,
-            "entries from " + (base + 1) + " to " + (entries.firstKey() - 1) + " are missing");
+            "entries from "
+                + (snapshotIndex + 1)
+                + " to "
+                + (entries.firstKey() - 1)
+                + " are missing");
       }
-      if (number == 0 && base > 0) {
-        throw new StoreDamagedException(SNAPSHOT + name(base), 0, "all segments are missing");
+      if (number == 0 && snapshotIndex > 0) {
+        throw new StoreDamagedException(
+            SNAPSHOT + name(snapshotIndex), 0, "all segments are missing");
       }
     }
 
     long lastIndex() {
-      return entries.isEmpty() ? base : entries.lastKey();
+      return entries.isEmpty() ? snapshotIndex : entries.lastKey();
     }
   }
 }
--- a/src/main/java/hazelspoke/agreement/store/RecoveredState.java
+++ b/src/main/java/hazelspoke/agreement/store/RecoveredState.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What a store holds.
+ * The state of a store when it was opened.
  *
- * @param term the latest that its owner has been in; 0 at first
- * @param votedFor whom it voted for in that term; empty for nobody
- * @param entries those after the snapshot, in order
- * @param truncatedBytes how much of a torn tail was left out at opening
+ * @param term the owner's latest term; 0 if it has not been in any
+ * @param votedFor the voter that it voted for in that term; empty if none
+ * @param entries the entries after the snapshot, in order
+ * @param truncatedBytes the length of a torn tail that was left out
  */
 public record RecoveredState(
     int term, String votedFor, Snapshot snapshot, List<Entry> entries, long truncatedBytes) {
--- a/src/main/java/hazelspoke/agreement/store/Snapshot.java
+++ b/src/main/java/hazelspoke/agreement/store/Snapshot.java
@@ -3,25 +3,25 @@
 import java.util.Arrays;
 
 /**
- * All that the entries up to one have come to.
+ * The state after all entries up to an index.
  *
- * @param index of the last of these entries; 0 for none
- * @param term of that entry
- * @param data what they have come to; neither side changes the array
+ * @param index the index of the last entry that is included; 0 for none
+ * @param term the term of that entry
+ * @param data the encoded state; not copied, so nobody may modify the array
  */
 public record Snapshot(long index, int term, byte[] data) {
-  /** The longest that one may be, in bytes. */
+  /** The maximum size of a snapshot's data, in bytes. */
   public static final int MAX_BYTES = 32 << 20;
 
-  /** Nothing has happened yet. */
+  /** The state before the first entry. */
   public static final Snapshot NONE = new Snapshot(0, 0, new byte[0]);
 
   /**
-   * @throws IllegalArgumentException for an index or term below 0, or too much data
+   * @throws IllegalArgumentException if the index, the term or the size is out of range
    */
   public Snapshot {
     if (index < 0 || term < 0 || data.length > MAX_BYTES) {
-      throw new IllegalArgumentException("no snapshot: index " + index + ", term " + term);
+      throw new IllegalArgumentException("invalid snapshot: index " + index + ", term " + term);
     }
   }
 
--- a/src/main/java/hazelspoke/agreement/store/StoreDamagedException.java
+++ b/src/main/java/hazelspoke/agreement/store/StoreDamagedException.java
@@ -1,10 +1,10 @@
 package hazelspoke.agreement.store;
 
-/** What is on a disk is not what was synced to it: its owner may have forgotten a vote. */
+/** The files of a store differ from what was synced, so a vote may have been lost. */
 public final class StoreDamagedException extends Exception {
   private static final long serialVersionUID = 1;
 
-  StoreDamagedException(String file, long offset, String what) {
-    super(file + ", byte " + offset + ": " + what);
+  StoreDamagedException(String file, long offset, String reason) {
+    super(file + ", byte " + offset + ": " + reason);
   }
 }
