--- a/src/main/java/hazelspoke/agreement/net/EventLoopScheduler.java
+++ b/src/main/java/hazelspoke/agreement/net/EventLoopScheduler.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 
-/** Turns on an event loop. */
+/** Runs tasks on a Netty event loop. */
 final class EventLoopScheduler implements Scheduler {
   private final EventLoop loop;
 
@@ -19,20 +19,20 @@
   }
 
   @Override
-  public void execute(Runnable what) {
+  public void execute(Runnable task) {
     try {
-      loop.execute(what);
+      loop.execute(task);
     } catch (RejectedExecutionException e) {
-      // The loop is ending, and whatever was to come with it.
+      // The loop is shutting down; the task is dropped.
     }
   }
 
   @Override
-  public void schedule(long nanos, Runnable what) {
+  public void schedule(long delayNanos, Runnable task) {
     try {
-      loop.schedule(what, nanos, TimeUnit.NANOSECONDS);
+      loop.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
     } catch (RejectedExecutionException e) {
-      // As above.
+      // Dropped as in execute.
     }
   }
 }
--- a/src/main/java/hazelspoke/agreement/net/FleetNode.java
+++ b/src/main/java/hazelspoke/agreement/net/FleetNode.java
@@ -25,15 +25,16 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** A gateway's membership of its fleet, with a thread, a listener and a folder of its own. */
+/** Runs a gateway's member of the fleet, with its own event loop, listener and data directory. */
 public final class FleetNode implements AutoCloseable {
-  /** What its thread is named after, where it has one of its own. */
+  /** Prefix of the name of the event loop's thread, if the node has its own. */
   public static final String THREAD = "fleet";
 
-  private static final String LOCK = "lock";
-  private static final int MOST_LINES_A_SECOND = 10;
+  private static final String LOCK_FILE = "lock";
+  private static final int MAX_LINES_PER_SECOND = 10;
 
-  // What the engine does is told by events; held, as loggers that nobody holds forget their levels.
+  // Events report what the engine does. Held in a field, as a logger that is not referenced may be
+  // collected and lose its level.
   private static final Logger ENGINE = Logger.getLogger("io.microraft");
 
   static {
@@ -42,9 +43,9 @@
 
   private final FleetSettings settings;
   private final Consumer<String> log;
-  private final Runnable standing;
+  private final Runnable onStatusChange;
 
-  /** Null where others use the loop too, who then end it. */
+  /** Null if the event loop is shared; its owner then shuts it down. */
   private final EventLoopGroup group;
 
   private final EventLoop loop;
@@ -52,9 +53,9 @@
   private final Peers peers;
   private final OperatorCalls operators;
   private Member member;
-  private Future<?> looking;
-  private long toldIn;
-  private int told;
+  private Future<?> polling;
+  private long lineCountSecond;
+  private int lineCount;
   private InetSocketAddress address;
   private final AtomicBoolean closed = new AtomicBoolean();
   private volatile boolean joined;
@@ -63,11 +64,11 @@
   private volatile long index;
 
   private FleetNode(
-      FleetSettings settings, EventLoop shared, Consumer<String> log, Runnable standing)
+      FleetSettings settings, EventLoop shared, Consumer<String> log, Runnable onStatusChange)
       throws IOException {
     this.settings = settings;
     this.log = log;
-    this.standing = standing;
+    this.onStatusChange = onStatusChange;
     lock = lock(settings.dataDirectory());
     group = shared != null ? null : EventLoops.daemon(THREAD);
     loop = shared != null ? shared : group.next();
@@ -79,39 +80,41 @@
             settings.member().self(),
             settings.addresses(),
             new SecureRandom(),
-            new Mailbox());
+            new MemberInbox());
   }
 
   /**
-   * Begins to belong; the record is read in the background.
+   * Opens a node; it joins the fleet and reads the record in the background.
    *
-   * @param log for lines to operators, from a thread of its own
-   * @param standing is run, on that thread, whenever {@link #hasJoined} or {@link #hasValidLease}
-   *     may have changed
-   * @throws IllegalStateException if it cannot; the message is one line
+   * @param log receives lines for operators, on the node's event loop
+   * @param onStatusChange is run, on the event loop, whenever {@link #hasJoined} or {@link
+   *     #hasValidLease} may have changed
+   * @throws IllegalStateException if the node cannot be opened; the message is one line
    */
-  public static FleetNode open(FleetSettings settings, Consumer<String> log, Runnable standing) {
-    return open(settings, null, log, standing);
+  public static FleetNode open(
+      FleetSettings settings, Consumer<String> log, Runnable onStatusChange) {
+    return open(settings, null, log, onStatusChange);
   }
 
   /**
-   * The same on a loop that it shares with others and does not end, so that many fit into one
-   * process; null for one of its own. Not to be called on that loop.
+   * Opens a node on a shared event loop, which it does not shut down, so that many nodes fit into
+   * one process; null for an event loop of its own. Must not be called on that loop.
    */
   public static FleetNode open(
-      FleetSettings settings, EventLoop shared, Consumer<String> log, Runnable standing) {
+      FleetSettings settings, EventLoop shared, Consumer<String> log, Runnable onStatusChange) {
     FleetNode node;
     try {
-      node = new FleetNode(settings, shared, log, standing);
+      node = new FleetNode(settings, shared, log, onStatusChange);
     } catch (IOException e) {
-      throw new IllegalStateException("the fleet's data folder: " + e.getMessage(), e);
+      throw new IllegalStateException("the fleet's data directory: " + e.getMessage(), e);
     }
     try {
       node.address = node.peers.listen(settings.listen());
-      node.loop.submit(node::begin).get();
+      node.loop.submit(node::start).get();
     } catch (ExecutionException e) {
       node.close();
-      throw new IllegalStateException("the fleet's data folder: " + e.getCause().getMessage(), e);
+      throw new IllegalStateException(
+          "the fleet's data directory: " + e.getCause().getMessage(), e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       node.close();
@@ -123,50 +126,56 @@
     return node;
   }
 
-  /** Only one process uses a folder, so that a second life in it is the first one's end. */
-  private static FileChannel lock(Path folder) throws IOException {
-    Files.createDirectories(folder);
+  /**
+   * Locks the data directory, so that only one process uses it and the start of the next one proves
+   * that the previous one has stopped.
+   */
+  private static FileChannel lock(Path directory) throws IOException {
+    Files.createDirectories(directory);
     FileChannel channel =
-        FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel.open(
+            directory.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
       if (channel.tryLock() != null) {
         return channel;
       }
     } catch (OverlappingFileLockException e) {
-      // This process has it.
+      // Another channel of this process holds the lock.
     }
     channel.close();
-    throw new IOException(folder + " is used by another process");
+    throw new IOException(directory + " is used by another process");
   }
 
-  private Void begin() throws IOException, WrongDataDirectoryException {
+  private Void start() throws IOException, WrongDataDirectoryException {
     Random random = new SecureRandom();
-    Random own = new Random(random.nextLong());
+    Random memberRandom = new Random(random.nextLong());
     member =
         new Member(
             settings.member(),
             new FileDisk(settings.dataDirectory().resolve("record")),
             new EventLoopScheduler(loop),
-            own,
+            memberRandom,
             peers,
             new Member.Listener() {
               @Override
               public void event(String line) {
-                tell(line);
+                logEvent(line);
               }
 
               @Override
               public void changed() {
-                look();
+                updateStatus();
               }
             });
     operators.member(member);
-    long often = Math.max(1, settings.member().leaseNanos() / 50);
-    looking = loop.scheduleAtFixedRate(this::look, often, often, TimeUnit.NANOSECONDS);
+    long intervalNanos = Math.max(1, settings.member().leaseNanos() / 50);
+    polling =
+        loop.scheduleAtFixedRate(
+            this::updateStatus, intervalNanos, intervalNanos, TimeUnit.NANOSECONDS);
     return null;
   }
 
-  private void look() {
+  private void updateStatus() {
     if (member == null) {
       return;
     }
@@ -177,62 +186,68 @@
     if (nowJoined != joined || nowHasValidLease != hasValidLease) {
       joined = nowJoined;
       hasValidLease = nowHasValidLease;
-      standing.run();
+      onStatusChange.run();
     }
   }
 
-  /** Few lines a second, whatever peers send: whoever takes them may be serving requests. */
-  private void tell(String line) {
+  /**
+   * Logs an event, up to a maximum number of lines per second, whatever peers send: the thread that
+   * writes them may also serve requests.
+   */
+  private void logEvent(String line) {
     long second = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
-    if (second != toldIn) {
-      toldIn = second;
-      told = 0;
+    if (second != lineCountSecond) {
+      lineCountSecond = second;
+      lineCount = 0;
     }
-    if (++told <= MOST_LINES_A_SECOND) {
+    if (++lineCount <= MAX_LINES_PER_SECOND) {
       log.accept("fleet event=" + line);
     }
   }
 
-  /** Where it listens. */
+  /** The address that the node listens on. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** Whether it has read the record once, as of a time after it began; any thread may ask. */
+  /** Whether the node has read the record since it started; callable from any thread. */
   public boolean hasJoined() {
     return joined;
   }
 
-  /** Whether its session holds; any thread may ask. */
+  /** Whether its session has a valid lease; callable from any thread. */
   public boolean hasValidLease() {
     return hasValidLease;
   }
 
-  /** Whether it leads, as far as it knows; any thread may ask. */
+  /** Whether it is the leader, as far as it knows; callable from any thread. */
   public boolean isLeader() {
     return isLeader;
   }
 
-  /** Up to which entry it knows the record; any thread may ask. */
+  /** The index of the last entry of the record that it knows; callable from any thread. */
   public long index() {
     return index;
   }
 
-  /** The bytes that came from and went to other members and operators; any thread may ask. */
+  /** The bytes exchanged with other members and operators; callable from any thread. */
   public Traffic traffic() {
     return peers.traffic();
   }
 
-  /** Says that it goes for good, and ends. Returns then, or when the time is over. */
-  public void leave(long mostMs) {
-    CompletableFuture<Void> gone = new CompletableFuture<>();
+  /**
+   * Records that the member leaves the fleet, and closes the node. Blocks until then, or until the
+   * time is over.
+   */
+  public void leave(long maxMs) {
+    CompletableFuture<Void> left = new CompletableFuture<>();
     loop.execute(
         () ->
             member
-                .leave(TimeUnit.MILLISECONDS.toNanos(mostMs))
-                .whenComplete((done, failure) -> gone.complete(null)));
+                .leave(TimeUnit.MILLISECONDS.toNanos(maxMs))
+                .whenComplete((done, failure) -> left.complete(null)));
     try {
-      gone.get(mostMs, TimeUnit.MILLISECONDS);
+      left.get(maxMs, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException | TimeoutException e) {
@@ -241,23 +256,23 @@
     close();
   }
 
-  /** Ends at once, as a process that is killed. */
+  /** Stops at once without leaving the fleet, like a process that is killed. */
   @Override
   public void close() {
     if (closed.getAndSet(true)) {
       return;
     }
-    Future<?> ended =
+    Future<?> stopped =
         loop.submit(
             () -> {
               peers.close();
               if (member != null) {
-                looking.cancel(false);
+                polling.cancel(false);
                 member.stop();
               }
             });
     if (group == null) {
-      ended.awaitUninterruptibly();
+      stopped.awaitUninterruptibly();
     } else {
       group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
@@ -268,22 +283,22 @@
     }
   }
 
-  private final class Mailbox implements Peers.Inbox {
+  private final class MemberInbox implements Peers.Inbox {
     @Override
-    public void packet(String from, byte[] packet, Consumer<byte[]> back) {
+    public void packet(String from, byte[] packet, Consumer<byte[]> reply) {
       if (member != null) {
-        member.receive(from, packet, back);
+        member.receive(from, packet, reply);
       }
     }
 
     @Override
-    public void operator(byte[] packet, Consumer<byte[]> back) {
-      operators.call(packet, back);
+    public void operator(byte[] packet, Consumer<byte[]> reply) {
+      operators.call(packet, reply);
     }
 
     @Override
     public void event(String line) {
-      tell(line);
+      logEvent(line);
     }
   }
 }
--- a/src/main/java/hazelspoke/agreement/net/FleetSettings.java
+++ b/src/main/java/hazelspoke/agreement/net/FleetSettings.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * What the operator's file says of the fleet.
+ * The section of the operator's file that configures the fleet.
  *
- * @param member what the member itself is told
- * @param addresses where each member is reached, this one among them
- * @param listen where this one listens
- * @param dataDirectory its folder, which nobody else uses
- * @param partitionPolicy what it does past its term
+ * @param member the settings of the member itself
+ * @param addresses the address of each member, including this one
+ * @param listen the address that this member listens on
+ * @param dataDirectory this member's directory, which nobody else may use
+ * @param partitionPolicy what the gateway does while it has no valid lease
  */
 public record FleetSettings(
     MemberSettings member,
@@ -20,11 +20,20 @@
     InetSocketAddress listen,
     Path dataDirectory,
     PartitionPolicy partitionPolicy) {
-  /** What a gateway does that is past its term, or that waits to join. */
+  /**
+   * What a gateway does whose lease has expired, or that has not joined yet. The constants' names
+   * are values of a setting.
+   */
   public enum PartitionPolicy {
-    /** It goes on; nothing that needs its word passes until it is back, gone or vouched for. */
+    /**
+     * It continues to serve; commands that depend on its confirmation wait until it has
+     * reconnected, has left, or an operator has confirmed that its process has ended.
+     */
     SERVE,
-    /** It takes no new requests until it is back; past its term the fleet goes on without it. */
+    /**
+     * It accepts no new requests until it has reconnected; once its lease has expired, the fleet
+     * continues without it.
+     */
     LEAVE
   }
 
--- a/src/main/java/hazelspoke/agreement/net/FrameHandler.java
+++ b/src/main/java/hazelspoke/agreement/net/FrameHandler.java
@@ -10,95 +10,104 @@
 import io.netty.handler.codec.LengthFieldPrepender;
 import java.util.function.Consumer;
 
-/** Whole frames on a connection: four bytes of length, then so many of CBOR. */
+/**
+ * Sends and receives frames on a connection: a length of four bytes, then that many bytes of CBOR.
+ */
 abstract class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
-  /** The longest; a record with all that it may hold is shorter. */
-  static final int LONGEST_BYTES = 8 << 20;
+  /** Maximum size of a frame; larger than the largest possible record. */
+  static final int MAX_BYTES = 8 << 20;
 
-  /** What somebody may send who has not said who it is. */
-  static final int LONGEST_HELLO_BYTES = 1_024;
+  /** Maximum size of a frame from a peer that has not sent its greeting. */
+  static final int MAX_GREETING_BYTES = 1_024;
 
-  /** What an operator may send. */
-  static final int LONGEST_CALL_BYTES = 64 << 10;
+  /** Maximum size of a frame from an operator. */
+  static final int MAX_OPERATOR_CALL_BYTES = 64 << 10;
 
-  /** What may wait to be written; further packets are dropped, which their senders allow for. */
-  static final WriteBufferWaterMark WAITING = new WriteBufferWaterMark(2 << 20, 8 << 20);
+  /**
+   * Limits on bytes waiting to be written; packets beyond them are dropped, which their senders
+   * tolerate.
+   */
+  static final WriteBufferWaterMark WRITE_BUFFER_LIMITS =
+      new WriteBufferWaterMark(2 << 20, 8 << 20);
 
   private static final int LENGTH_BYTES = 4;
-  private static final String FRAMES = "frames";
+  private static final String DECODER_NAME = "frames";
 
-  /** Puts this at the end of a connection's handlers. */
-  void joins(Channel channel) {
+  /** Adds the frame codec and this handler to a channel's pipeline. */
+  void addTo(Channel channel) {
     channel
         .pipeline()
-        .addLast(FRAMES, frames(LONGEST_HELLO_BYTES))
+        .addLast(DECODER_NAME, decoder(MAX_GREETING_BYTES))
         .addLast(new LengthFieldPrepender(LENGTH_BYTES), this);
   }
 
-  /** The other end has said who it is, and may send longer ones. */
-  static void allow(Channel channel, int longest) {
-    channel.pipeline().replace(FRAMES, FRAMES, frames(longest));
+  /** Raises the maximum size of a received frame once the peer has sent its greeting. */
+  static void setMaxFrameBytes(Channel channel, int maxBytes) {
+    channel.pipeline().replace(DECODER_NAME, DECODER_NAME, decoder(maxBytes));
   }
 
-  private static LengthFieldBasedFrameDecoder frames(int longest) {
-    return new LengthFieldBasedFrameDecoder(longest, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
+  private static LengthFieldBasedFrameDecoder decoder(int maxBytes) {
+    return new LengthFieldBasedFrameDecoder(maxBytes, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
   }
 
   private final Counter counter;
 
-  /** Its traffic is counted there. */
+  /** Creates a handler that adds its traffic to a counter. */
   FrameHandler(Counter counter) {
     this.counter = counter;
   }
 
-  /** What all connections of a member carry; counted on its loop, and any thread may look. */
+  /**
+   * The traffic of all connections of a member; updated on its event loop and readable from any
+   * thread.
+   */
   static final class Counter {
-    private volatile long in;
-    private volatile long out;
+    private volatile long receivedBytes;
+    private volatile long sentBytes;
 
-    private void in(int bytes) {
-      in += LENGTH_BYTES + bytes;
+    private void received(int bytes) {
+      receivedBytes += LENGTH_BYTES + bytes;
     }
 
-    private void out(int bytes) {
-      out += LENGTH_BYTES + bytes;
+    private void sent(int bytes) {
+      sentBytes += LENGTH_BYTES + bytes;
     }
 
     Traffic traffic() {
-      return new Traffic(in, out);
+      return new Traffic(receivedBytes, sentBytes);
     }
   }
 
   void write(Channel channel, byte[] packet) {
-    if (channel.isActive() && channel.isWritable() && packet.length <= LONGEST_BYTES) {
-      counter.out(packet.length);
+    if (channel.isActive() && channel.isWritable() && packet.length <= MAX_BYTES) {
+      counter.sent(packet.length);
       channel.writeAndFlush(channel.alloc().buffer(packet.length).writeBytes(packet));
     }
   }
 
-  abstract void frame(byte[] packet);
+  abstract void handleFrame(byte[] packet);
 
-  abstract void gone();
+  abstract void closed();
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
-    counter.in(frame.readableBytes());
-    frame(ByteBufUtil.getBytes(frame));
+    counter.received(frame.readableBytes());
+    handleFrame(ByteBufUtil.getBytes(frame));
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    gone();
+    closed();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // A reset, or no frames at all.
+    // A connection reset, or data that is not in frames.
     context.close();
   }
 
-  /** For whoever answers on the connection that a packet came by. */
-  Consumer<byte[]> back(Channel channel) {
+  /** Returns a function that sends packets on a connection, for replies to what came on it. */
+  Consumer<byte[]> replyTo(Channel channel) {
     return packet -> write(channel, packet);
   }
 }
--- a/src/main/java/hazelspoke/agreement/net/Greeting.java
+++ b/src/main/java/hazelspoke/agreement/net/Greeting.java
@@ -9,16 +9,16 @@
 /**
  * The first frame of a connection, both ways.
  *
- * @param fleet its name
- * @param member who calls, or who was called; empty for an operator
+ * @param fleet the name of the fleet
+ * @param member the sender's member name; empty for an operator
  */
 record Greeting(String fleet, String member) {
-  /** Counts up with each change that an older program could not read. */
-  private static final int VERSION = 1;
+  /** Incremented with each change that an older version could not read. */
+  private static final int PROTOCOL_VERSION = 1;
 
   byte[] bytes() {
     Map<String, Object> out = new LinkedHashMap<>();
-    out.put("pumicetray", VERSION);
+    out.put("pumicetray", PROTOCOL_VERSION);
     out.put("fleet", fleet);
     out.put("member", member);
     return Cbor.write(out);
@@ -26,8 +26,9 @@
 
   static Greeting read(byte[] bytes) throws MalformedException {
     Fields in = Cbor.read(bytes);
-    if (in.number("pumicetray") != VERSION) {
-      throw new MalformedException("version " + in.number("pumicetray") + ", not " + VERSION);
+    if (in.number("pumicetray") != PROTOCOL_VERSION) {
+      throw new MalformedException(
+          "protocol version " + in.number("pumicetray") + ", expected " + PROTOCOL_VERSION);
     }
     return new Greeting(in.text("fleet"), in.text("member"));
   }
--- a/src/main/java/hazelspoke/agreement/net/OperatorCalls.java
+++ b/src/main/java/hazelspoke/agreement/net/OperatorCalls.java
@@ -18,9 +18,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** What operators ask of a member: its view, and commands for the record. On the member's loop. */
+/**
+ * Handles operators' calls to a member: queries of its status and the record, and commands. Runs on
+ * the member's event loop.
+ */
 final class OperatorCalls {
-  private static final long LONGEST_MS = 60_000;
+  private static final long MAX_PATIENCE_MS = 60_000;
 
   private final FleetSettings settings;
   private Member member;
@@ -29,75 +32,82 @@
     this.settings = settings;
   }
 
-  void member(Member of) {
-    member = of;
+  void member(Member newMember) {
+    member = newMember;
   }
 
-  void call(byte[] packet, Consumer<byte[]> back) {
+  void call(byte[] packet, Consumer<byte[]> reply) {
     try {
       Fields in = Cbor.read(packet);
       long number = in.number("number");
       if (member == null) {
-        back.accept(failure(number, "this member is still starting"));
+        reply.accept(errorReply(number, "this member is still starting"));
         return;
       }
-      long patience =
+      long patienceNanos =
           TimeUnit.MILLISECONDS.toNanos(
-              Math.min(LONGEST_MS, Math.max(1, in.number("patience_ms"))));
+              Math.min(MAX_PATIENCE_MS, Math.max(1, in.number("patience_ms"))));
       switch (in.text("ask")) {
-        case "status" -> back.accept(Cbor.write(status(number, member.view().record())));
+        case "status" -> reply.accept(Cbor.write(status(number, member.view().record())));
         case "read" ->
             member
-                .read(patience)
+                .read(patienceNanos)
                 .whenComplete(
-                    (record, lost) ->
-                        back.accept(
-                            lost == null
+                    (record, failure) ->
+                        reply.accept(
+                            failure == null
                                 ? Cbor.write(status(number, record))
-                                : failure(number, lost.getMessage())));
+                                : errorReply(number, failure.getMessage())));
         case "command" ->
-            answer(
+            sendResult(
                 number,
-                member.submit(operators(Command.Numbered.read(in.bytes("command"))), patience),
-                back);
+                member.submit(
+                    checkAllowed(Command.Numbered.read(in.bytes("command"))), patienceNanos),
+                reply);
         case "voter" ->
-            answer(number, member.changeVoter(in.bool("add"), in.text("member"), patience), back);
-        default -> back.accept(failure(number, "unknown question " + in.text("ask")));
+            sendResult(
+                number,
+                member.changeVoter(in.bool("add"), in.text("member"), patienceNanos),
+                reply);
+        default -> reply.accept(errorReply(number, "unknown call: " + in.text("ask")));
       }
     } catch (MalformedException e) {
-      // Its sender hears nothing and gives up; there is no number to answer to.
+      // There may be no call number to reply to; the caller times out.
     }
   }
 
-  /** What a member says of itself no operator says for it. */
-  private static Command.Numbered operators(Command.Numbered command) throws MalformedException {
+  /**
+   * Checks that operators may submit a command; all others are submitted only by the members
+   * themselves.
+   */
+  private static Command.Numbered checkAllowed(Command.Numbered command) throws MalformedException {
     if (command.command() instanceof Command.Vouch || command.command() instanceof Command.Note) {
       return command;
     }
-    throw new MalformedException("operators do not give " + command.command());
+    throw new MalformedException("operators may not submit " + command.command());
   }
 
-  private static void answer(
-      long number, CompletableFuture<CommandResult> answer, Consumer<byte[]> back) {
-    answer.whenComplete(
-        (done, lost) -> {
-          if (lost != null) {
-            back.accept(failure(number, lost.getMessage()));
+  private static void sendResult(
+      long number, CompletableFuture<CommandResult> pendingResult, Consumer<byte[]> reply) {
+    pendingResult.whenComplete(
+        (result, failure) -> {
+          if (failure != null) {
+            reply.accept(errorReply(number, failure.getMessage()));
             return;
           }
           Map<String, Object> out = new LinkedHashMap<>();
           out.put("number", number);
           out.put("ok", true);
-          out.put("answer", done.fields());
-          back.accept(Cbor.write(out));
+          out.put("answer", result.fields());
+          reply.accept(Cbor.write(out));
         });
   }
 
-  private static byte[] failure(long number, String why) {
+  private static byte[] errorReply(long number, String reason) {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("number", number);
     out.put("ok", false);
-    out.put("why", why == null ? "unknown" : why);
+    out.put("why", reason == null ? "unknown" : reason);
     return Cbor.write(out);
   }
 
--- a/src/main/java/hazelspoke/agreement/net/OperatorClient.java
+++ b/src/main/java/hazelspoke/agreement/net/OperatorClient.java
@@ -13,108 +13,108 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** An operator's connection to one member; each call waits for its answer. */
+/** An operator's connection to one member; each call blocks until its response. */
 public final class OperatorClient implements AutoCloseable {
-  private static final int CONNECT_MS = 2_000;
+  private static final int CONNECT_TIMEOUT_MS = 2_000;
 
-  /** How much longer than the member's own patience an answer is waited for. */
+  /** How much longer than the member's own timeout the client waits for a response. */
   private static final int GRACE_MS = 2_000;
 
   private final Socket socket = new Socket();
   private final DataInputStream in;
   private final DataOutputStream out;
   private final String member;
-  private long numbers;
+  private long lastNumber;
 
   /**
    * Connects.
    *
-   * @param fleet whose member it has to be
-   * @throws IOException if nobody answers there, or a member of another fleet
+   * @param fleet the fleet that the member has to belong to
+   * @throws IOException if there is no response, or the member belongs to another fleet
    */
-  public OperatorClient(InetSocketAddress at, String fleet) throws IOException {
+  public OperatorClient(InetSocketAddress address, String fleet) throws IOException {
     try {
-      socket.connect(at, CONNECT_MS);
+      socket.connect(address, CONNECT_TIMEOUT_MS);
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(CONNECT_MS);
+      socket.setSoTimeout(CONNECT_TIMEOUT_MS);
       in = new DataInputStream(socket.getInputStream());
       out = new DataOutputStream(socket.getOutputStream());
       write(new Greeting(fleet, "").bytes());
-      Greeting said = Greeting.read(read());
-      if (!said.fleet().equals(fleet)) {
-        throw new IOException("that is " + said.member() + " of " + said.fleet());
+      Greeting greeting = Greeting.read(read());
+      if (!greeting.fleet().equals(fleet)) {
+        throw new IOException("connected to " + greeting.member() + " of " + greeting.fleet());
       }
-      member = said.member();
+      member = greeting.member();
     } catch (IOException e) {
       socket.close();
       throw e;
     } catch (MalformedException e) {
       socket.close();
-      throw new IOException("that is no member: " + e.getMessage(), e);
+      throw new IOException("the peer is not a member: " + e.getMessage(), e);
     }
   }
 
-  /** Who is at the other end. */
+  /** The name of the member. */
   public String member() {
     return member;
   }
 
-  /** What that member knows, however old; at once. */
+  /** The member's status and its copy of the record, which may be out of date; responds at once. */
   public Fields status() throws IOException {
-    return ask(call("status"), CONNECT_MS);
+    return send(call("status"), CONNECT_TIMEOUT_MS);
   }
 
-  /** What the record says, no older than this call. */
+  /** The same with a linearizable read: the record is no older than this call. */
   public Fields read(int patienceMs) throws IOException {
-    return ask(call("read"), patienceMs);
+    return send(call("read"), patienceMs);
   }
 
-  /** Puts a command on the record, once for each number of an origin. */
+  /** Submits a command; it is applied at most once for each number of an origin. */
   public CommandResult command(Command.Numbered command, int patienceMs) throws IOException {
     Map<String, Object> call = call("command");
     call.put("command", command.bytes());
-    return answer(call, patienceMs);
+    return submit(call, patienceMs);
   }
 
-  /** Makes a member a voter, or ends its vote. */
+  /** Adds or removes a voter. */
   public CommandResult voter(boolean add, String name, int patienceMs) throws IOException {
     Map<String, Object> call = call("voter");
     call.put("add", add);
     call.put("member", name);
-    return answer(call, patienceMs);
+    return submit(call, patienceMs);
   }
 
-  private CommandResult answer(Map<String, Object> call, int patienceMs) throws IOException {
+  private CommandResult submit(Map<String, Object> call, int patienceMs) throws IOException {
     try {
-      return CommandResult.read(ask(call, patienceMs).fields("answer"));
+      return CommandResult.read(send(call, patienceMs).fields("answer"));
     } catch (MalformedException e) {
-      throw new IOException("unreadable answer: " + e.getMessage(), e);
+      throw new IOException("malformed response: " + e.getMessage(), e);
     }
   }
 
-  private static Map<String, Object> call(String what) {
+  private static Map<String, Object> call(String kind) {
     Map<String, Object> call = new LinkedHashMap<>();
-    call.put("ask", what);
+    call.put("ask", kind);
     return call;
   }
 
-  private Fields ask(Map<String, Object> call, int patienceMs) throws IOException {
-    long number = ++numbers;
+  private Fields send(Map<String, Object> call, int patienceMs) throws IOException {
+    long number = ++lastNumber;
     call.put("number", number);
     call.put("patience_ms", patienceMs);
     socket.setSoTimeout(patienceMs + GRACE_MS);
     write(Cbor.write(call));
     try {
-      Fields answer = Cbor.read(read());
-      while (answer.number("number") != number) {
-        answer = Cbor.read(read());
+      Fields response = Cbor.read(read());
+      while (response.number("number") != number) {
+        response = Cbor.read(read());
       }
-      if (!answer.bool("ok")) {
-        throw new IOException(answer.text("why"));
+      if (!response.bool("ok")) {
+        throw new IOException(response.text("why"));
       }
-      return answer;
+      return response;
     } catch (MalformedException e) {
-      throw new IOException("unreadable answer: " + e.getMessage(), e);
+      throw new IOException("malformed response: " + e.getMessage(), e);
     }
   }
 
@@ -126,8 +126,8 @@
 
   private byte[] read() throws IOException {
     int length = in.readInt();
-    if (length < 0 || length > FrameHandler.LONGEST_BYTES) {
-      throw new IOException("no frame");
+    if (length < 0 || length > FrameHandler.MAX_BYTES) {
+      throw new IOException("invalid frame length");
     }
     byte[] frame = new byte[length];
     in.readFully(frame);
--- a/src/main/java/hazelspoke/agreement/net/Peers.java
+++ b/src/main/java/hazelspoke/agreement/net/Peers.java
@@ -27,32 +27,37 @@
 import java.util.function.Consumer;
 
 /**
- * The connections to the other members. Each member opens its own to whom it has something to send,
- * and is answered on it; what cannot be sent now is dropped. All on the loop.
+ * The connections to the other members. A member opens a connection to each member that it sends
+ * packets to, and receives replies on it; packets that cannot be sent are dropped. Runs on the
+ * event loop.
  */
 final class Peers implements Transport {
-  /** What comes from elsewhere. */
+  /** Receives packets and events. */
   interface Inbox {
-    void packet(String from, byte[] packet, Consumer<byte[]> back);
+    void packet(String from, byte[] packet, Consumer<byte[]> reply);
 
-    void operator(byte[] packet, Consumer<byte[]> back);
+    void operator(byte[] packet, Consumer<byte[]> reply);
 
     void event(String line);
   }
 
-  private static final int CONNECT_MS = 1_000;
-  private static final long FIRST_PAUSE_MS = 50;
-  private static final long LONGEST_PAUSE_MS = 1_000;
-  private static final long UNUSED_CLOSED_AFTER_S = 30;
+  private static final int CONNECT_TIMEOUT_MS = 1_000;
+  private static final long MIN_RECONNECT_DELAY_MS = 50;
+  private static final long MAX_RECONNECT_DELAY_MS = 1_000;
+  private static final long IDLE_TIMEOUT_S = 30;
 
-  /** Packets that wait for a connection to come up; older ones are dropped first. */
-  private static final int MOST_WAITING = 64;
+  /**
+   * Maximum number of packets that wait for a connection to be established; the oldest are dropped
+   * first.
+   */
+  private static final int MAX_WAITING_PACKETS = 64;
 
   /**
-   * Connections besides one from each member, for operators and strangers; as many more as there
-   * are members, since all of them may come anew in one moment and are strangers until they greet.
+   * Maximum number of connections from operators and unidentified peers. The number of members is
+   * added to it, as all of them may reconnect at the same moment and are unidentified until they
+   * have sent their greeting.
    */
-  private static final int MOST_OTHERS = 16;
+  private static final int MAX_OTHER_CONNECTIONS = 16;
 
   private final EventLoop loop;
   private final String fleet;
@@ -64,11 +69,11 @@
   private final Map<String, Outgoing> outgoing = new HashMap<>();
   private final Map<String, Channel> incoming = new HashMap<>();
 
-  /** Those that have not said who they are, and operators; the longest first. */
+  /** Connections of operators and of peers that have not sent their greeting, oldest first. */
   private final Set<Channel> others = new LinkedHashSet<>();
 
   private Channel listener;
-  private boolean closed;
+  private boolean isClosed;
 
   Peers(
       EventLoop loop,
@@ -89,15 +94,15 @@
     return counter.traffic();
   }
 
-  /** Begins to listen; not to be called on the loop. */
-  InetSocketAddress listen(InetSocketAddress at) {
+  /** Starts to listen. Blocks, so it must not be called on the event loop. */
+  InetSocketAddress listen(InetSocketAddress bindAddress) {
     ChannelFuture binding =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, FrameHandler.WAITING)
+            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, FrameHandler.WRITE_BUFFER_LIMITS)
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -105,7 +110,7 @@
                     accept(channel);
                   }
                 })
-            .bind(at)
+            .bind(bindAddress)
             .awaitUninterruptibly();
     if (!binding.isSuccess()) {
       throw new IllegalStateException(
@@ -117,21 +122,21 @@
 
   private void accept(Channel channel) {
     others.add(channel);
-    while (others.size() > MOST_OTHERS + addresses.size()) {
-      Channel longest = others.iterator().next();
-      others.remove(longest);
-      longest.close();
+    while (others.size() > MAX_OTHER_CONNECTIONS + addresses.size()) {
+      Channel oldest = others.iterator().next();
+      others.remove(oldest);
+      oldest.close();
     }
-    new Incoming(channel).joins(channel);
+    new Incoming(channel).addTo(channel);
   }
 
   @Override
   public void send(String member, byte[] packet) {
-    if (closed) {
+    if (isClosed) {
       return;
     }
     if (member.equals(self)) {
-      loop.execute(() -> inbox.packet(self, packet, back -> send(self, back)));
+      loop.execute(() -> inbox.packet(self, packet, reply -> send(self, reply)));
       return;
     }
     InetSocketAddress address = addresses.get(member);
@@ -143,7 +148,7 @@
   @Override
   public void probe(String member, Runnable refused) {
     InetSocketAddress address = addresses.get(member);
-    if (address == null || closed) {
+    if (address == null || isClosed) {
       return;
     }
     connect(address)
@@ -157,7 +162,7 @@
             });
   }
 
-  /** Whether the other machine's system has said that nobody listens, and not that it took long. */
+  /** Whether the remote system has refused the connection, as opposed to a timeout. */
   private static boolean isRefusal(Throwable cause) {
     return cause instanceof ConnectException
         && cause.getMessage() != null
@@ -169,21 +174,21 @@
         .group(loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, FrameHandler.WAITING)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, FrameHandler.WRITE_BUFFER_LIMITS)
         .handler(
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                // Joined once it is up.
+                // The handlers are added once the connection is established.
               }
             })
         .connect(address);
   }
 
-  /** Ends all; on the loop. */
+  /** Closes the listener and all connections; to be called on the event loop. */
   void close() {
-    closed = true;
+    isClosed = true;
     if (listener != null) {
       listener.close();
     }
@@ -198,10 +203,10 @@
         });
   }
 
-  /** A connection that another opened. */
+  /** A connection that a peer has opened. */
   private final class Incoming extends FrameHandler {
     private final Channel channel;
-    private Greeting who;
+    private Greeting peer;
 
     Incoming(Channel channel) {
       super(counter);
@@ -209,40 +214,41 @@
     }
 
     @Override
-    void frame(byte[] packet) {
-      if (who == null) {
-        hello(packet);
-      } else if (who.member().isEmpty()) {
-        inbox.operator(packet, back(channel));
+    void handleFrame(byte[] packet) {
+      if (peer == null) {
+        handleGreeting(packet);
+      } else if (peer.member().isEmpty()) {
+        inbox.operator(packet, replyTo(channel));
       } else {
-        inbox.packet(who.member(), packet, back(channel));
+        inbox.packet(peer.member(), packet, replyTo(channel));
       }
     }
 
-    private void hello(byte[] packet) {
+    private void handleGreeting(byte[] packet) {
       try {
-        Greeting said = Greeting.read(packet);
-        boolean known = said.member().isEmpty() || addresses.containsKey(said.member());
-        if (!said.fleet().equals(fleet) || !known) {
+        Greeting greeting = Greeting.read(packet);
+        boolean known = greeting.member().isEmpty() || addresses.containsKey(greeting.member());
+        if (!greeting.fleet().equals(fleet) || !known) {
           inbox.event(
               "stranger at="
                   + channel.remoteAddress()
                   + " fleet="
-                  + said.fleet()
+                  + greeting.fleet()
                   + " member="
-                  + said.member());
+                  + greeting.member());
           write(channel, new Greeting(fleet, self).bytes());
           channel.close();
           return;
         }
-        who = said;
-        allow(channel, said.member().isEmpty() ? LONGEST_CALL_BYTES : LONGEST_BYTES);
+        peer = greeting;
+        setMaxFrameBytes(
+            channel, greeting.member().isEmpty() ? MAX_OPERATOR_CALL_BYTES : MAX_BYTES);
         write(channel, new Greeting(fleet, self).bytes());
-        if (!said.member().isEmpty()) {
+        if (!greeting.member().isEmpty()) {
           others.remove(channel);
-          Channel before = incoming.put(said.member(), channel);
-          if (before != null) {
-            before.close();
+          Channel previous = incoming.put(greeting.member(), channel);
+          if (previous != null) {
+            previous.close();
           }
         }
       } catch (MalformedException e) {
@@ -252,25 +258,25 @@
     }
 
     @Override
-    void gone() {
+    void closed() {
       others.remove(channel);
-      if (who != null) {
-        incoming.remove(who.member(), channel);
+      if (peer != null) {
+        incoming.remove(peer.member(), channel);
       }
     }
   }
 
-  /** The connection that this member has opened to another, or opens when there is something. */
+  /** The connection from this member to another; it is opened when there is something to send. */
   private final class Outgoing extends FrameHandler {
     private final String member;
     private final InetSocketAddress address;
     private final Deque<byte[]> waiting = new ArrayDeque<>();
     private Channel channel;
-    private boolean connecting;
-    private boolean greeted;
-    private long notBefore = System.nanoTime();
-    private long pauseMs = FIRST_PAUSE_MS;
-    private long usedAt;
+    private boolean isConnecting;
+    private boolean isGreeted;
+    private long reconnectAtNanos = System.nanoTime();
+    private long reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
+    private long lastUsedNanos;
 
     Outgoing(String member, InetSocketAddress address) {
       super(counter);
@@ -279,116 +285,116 @@
     }
 
     void send(byte[] packet) {
-      usedAt = System.nanoTime();
-      if (greeted) {
+      lastUsedNanos = System.nanoTime();
+      if (isGreeted) {
         write(channel, packet);
         return;
       }
-      if (!connecting && System.nanoTime() - notBefore < 0) {
+      if (!isConnecting && System.nanoTime() - reconnectAtNanos < 0) {
         return;
       }
       waiting.add(packet);
-      if (waiting.size() > MOST_WAITING) {
+      if (waiting.size() > MAX_WAITING_PACKETS) {
         waiting.remove();
       }
-      if (!connecting) {
-        connecting = true;
+      if (!isConnecting) {
+        isConnecting = true;
         Peers.this
             .connect(address)
             .addListener(
                 (ChannelFuture done) -> {
                   if (done.isSuccess()) {
-                    up(done.channel());
+                    connected(done.channel());
                   } else {
-                    gone();
+                    closed();
                   }
                 });
       }
     }
 
-    private void up(Channel now) {
-      channel = now;
-      if (closed) {
-        now.close();
+    private void connected(Channel established) {
+      channel = established;
+      if (isClosed) {
+        established.close();
         return;
       }
-      joins(now);
-      write(now, new Greeting(fleet, self).bytes());
-      // A way that is silent takes the connection and never the greeting.
+      addTo(established);
+      write(established, new Greeting(fleet, self).bytes());
+      // A path that loses packets may let the connection open and never deliver a greeting.
       loop.schedule(
           () -> {
-            if (channel == now && !greeted) {
-              now.close();
+            if (channel == established && !isGreeted) {
+              established.close();
             }
           },
-          CONNECT_MS,
+          CONNECT_TIMEOUT_MS,
           TimeUnit.MILLISECONDS);
     }
 
     @Override
     public boolean isSharable() {
-      // One connection after the other.
+      // Used for one connection after another, never for two at a time.
       return true;
     }
 
     @Override
-    void frame(byte[] packet) {
-      if (greeted) {
-        inbox.packet(member, packet, back(channel));
+    void handleFrame(byte[] packet) {
+      if (isGreeted) {
+        inbox.packet(member, packet, replyTo(channel));
         return;
       }
       try {
-        Greeting said = Greeting.read(packet);
-        if (!said.fleet().equals(fleet) || !said.member().equals(member)) {
+        Greeting greeting = Greeting.read(packet);
+        if (!greeting.fleet().equals(fleet) || !greeting.member().equals(member)) {
           inbox.event(
               "stranger at="
                   + Addresses.text(address)
                   + " expected="
                   + member
                   + " fleet="
-                  + said.fleet()
+                  + greeting.fleet()
                   + " member="
-                  + said.member());
+                  + greeting.member());
           channel.close();
           return;
         }
-        greeted = true;
-        allow(channel, LONGEST_BYTES);
-        pauseMs = FIRST_PAUSE_MS;
+        isGreeted = true;
+        setMaxFrameBytes(channel, MAX_BYTES);
+        reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
         waiting.forEach(p -> write(channel, p));
         waiting.clear();
-        closeUnused(channel);
+        closeWhenIdle(channel);
       } catch (MalformedException e) {
         inbox.event("stranger at=" + address + " why=\"" + e.getMessage() + "\"");
         channel.close();
       }
     }
 
-    private void closeUnused(Channel its) {
+    private void closeWhenIdle(Channel expected) {
       loop.schedule(
           () -> {
-            if (channel != its) {
+            if (channel != expected) {
               return;
             }
-            if (System.nanoTime() - usedAt > TimeUnit.SECONDS.toNanos(UNUSED_CLOSED_AFTER_S)) {
-              its.close();
+            if (System.nanoTime() - lastUsedNanos > TimeUnit.SECONDS.toNanos(IDLE_TIMEOUT_S)) {
+              expected.close();
             } else {
-              closeUnused(its);
+              closeWhenIdle(expected);
             }
           },
-          UNUSED_CLOSED_AFTER_S,
+          IDLE_TIMEOUT_S,
           TimeUnit.SECONDS);
     }
 
     @Override
-    void gone() {
-      connecting = false;
-      greeted = false;
+    void closed() {
+      isConnecting = false;
+      isGreeted = false;
       channel = null;
       waiting.clear();
-      long pause = (long) (pauseMs * (0.5 + random.nextDouble()));
-      pauseMs = Math.min(LONGEST_PAUSE_MS, 2 * pauseMs);
-      notBefore = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(pause);
+      long delayMs = (long) (reconnectDelayMs * (0.5 + random.nextDouble()));
+      reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, 2 * reconnectDelayMs);
+      reconnectAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMs);
     }
   }
 }
--- a/src/main/java/hazelspoke/agreement/net/Traffic.java
+++ b/src/main/java/hazelspoke/agreement/net/Traffic.java
@@ -1,9 +1,9 @@
 package hazelspoke.agreement.net;
 
 /**
- * Bytes of frames since the start, their lengths' four bytes each included.
+ * Bytes of frames since the start, including the four-byte length prefix of each.
  *
- * @param receivedBytes that came
- * @param sentBytes that were handed to the system, or wait to be
+ * @param receivedBytes bytes received
+ * @param sentBytes bytes sent or queued for sending
  */
 public record Traffic(long receivedBytes, long sentBytes) {}
--- a/src/main/java/hazelspoke/agreement/net/package-info.java
+++ b/src/main/java/hazelspoke/agreement/net/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The thin shell round a member: one thread of its own, connections to the other members, the data
- * folder's lock, and the operators' way in. Nobody who serves requests ever waits for it.
+ * Runs a member: its event loop, the connections to the other members, the lock of the data
+ * directory, and the interface for operators. Threads that serve requests never block on it.
  *
- * <p>The network between members is trusted: a stranger is refused by the fleet's and the members'
- * names, which is a guard against mistakes and not against an enemy.
+ * <p>The network between members is trusted: peers are checked only by the names of the fleet and
+ * the member, which protects against mistakes and not against attackers.
  */
 package hazelspoke.agreement.net;
--- a/src/main/java/hazelspoke/agreement/wire/Cbor.java
+++ b/src/main/java/hazelspoke/agreement/wire/Cbor.java
@@ -13,9 +13,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** CBOR to and from maps of text, numbers, booleans, bytes, lists and maps. */
+/** Encodes maps of text, integers, booleans, bytes, lists and maps as CBOR, and decodes them. */
 public final class Cbor {
-  /** The most values in one message, so that one byte a value cannot fill the heap. */
+  /**
+   * Maximum number of values in one message; a message can have a value per byte, and each takes
+   * far more in the heap.
+   */
   static final int MAX_VALUES = 50_000;
 
   private static final int MAX_NESTING_DEPTH = 12;
@@ -29,91 +32,93 @@
   private Cbor() {}
 
   /**
-   * Writes a map whose values are texts, whole numbers, booleans, bytes, and lists and maps of
+   * Encodes a map whose values are strings, integers, booleans, byte arrays, and lists and maps of
    * these.
    *
-   * @throws IllegalArgumentException for a value of another kind
+   * @throws IllegalArgumentException for a value of another type
    */
   public static byte[] write(Map<String, ?> map) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(128);
     try (JsonGenerator generator = FACTORY.createGenerator(out)) {
-      value(generator, map);
+      writeValue(generator, map);
     } catch (IOException e) {
-      throw new UncheckedIOException("memory does not fail", e);
+      throw new UncheckedIOException("writing to memory failed", e);
     }
     return out.toByteArray();
   }
 
-  private static void value(JsonGenerator out, Object value) throws IOException {
+  private static void writeValue(JsonGenerator out, Object value) throws IOException {
     if (value instanceof Map<?, ?> map) {
       out.writeStartObject();
       for (Map.Entry<?, ?> field : map.entrySet()) {
         out.writeFieldName((String) field.getKey());
-        value(out, field.getValue());
+        writeValue(out, field.getValue());
       }
       out.writeEndObject();
     } else if (value instanceof List<?> list) {
       out.writeStartArray();
       for (Object item : list) {
-        value(out, item);
+        writeValue(out, item);
       }
       out.writeEndArray();
     } else if (value instanceof String text) {
       out.writeString(text);
     } else if (value instanceof byte[] bytes) {
       out.writeBinary(bytes);
-    } else if (value instanceof Boolean truth) {
-      out.writeBoolean(truth);
+    } else if (value instanceof Boolean bool) {
+      out.writeBoolean(bool);
     } else if (value instanceof Integer || value instanceof Long) {
       out.writeNumber(((Number) value).longValue());
     } else {
-      throw new IllegalArgumentException("no value to write: " + value);
+      throw new IllegalArgumentException("type of value is not supported: " + value);
     }
   }
 
   /**
-   * Reads a map.
+   * Decodes a map.
    *
-   * @throws MalformedException if it is none, or larger than any that is written here
+   * @throws MalformedException if the bytes are not a CBOR map, or exceed the limits on values and
+   *     nesting
    */
   public static Fields read(byte[] bytes) throws MalformedException {
     try (JsonParser parser = FACTORY.createParser(bytes)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new MalformedException("no map");
+        throw new MalformedException("not a CBOR map");
       }
-      return new Fields(map(parser, new int[] {MAX_VALUES}));
+      return new Fields(readMap(parser, new int[] {MAX_VALUES}));
     } catch (IOException e) {
-      throw new MalformedException("no CBOR: " + e.getMessage());
+      throw new MalformedException("invalid CBOR: " + e.getMessage());
     }
   }
 
-  private static Map<String, Object> map(JsonParser in, int[] left)
+  private static Map<String, Object> readMap(JsonParser in, int[] valuesLeft)
       throws IOException, MalformedException {
     Map<String, Object> out = new LinkedHashMap<>();
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String name = in.currentName();
       in.nextToken();
-      out.put(name, value(in, left));
+      out.put(name, readValue(in, valuesLeft));
     }
     return out;
   }
 
-  private static Object value(JsonParser in, int[] left) throws IOException, MalformedException {
-    if (--left[0] < 0) {
+  private static Object readValue(JsonParser in, int[] valuesLeft)
+      throws IOException, MalformedException {
+    if (--valuesLeft[0] < 0) {
       throw new MalformedException("more than " + MAX_VALUES + " values");
     }
     JsonToken token = in.currentToken();
     if (token == null) {
-      throw new MalformedException("it ends too early");
+      throw new MalformedException("the message is truncated");
     }
     switch (token) {
       case START_OBJECT -> {
-        return map(in, left);
+        return readMap(in, valuesLeft);
       }
       case START_ARRAY -> {
         List<Object> out = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-          out.add(value(in, left));
+          out.add(readValue(in, valuesLeft));
         }
         return out;
       }
@@ -132,7 +137,7 @@
       case VALUE_EMBEDDED_OBJECT -> {
         return in.getBinaryValue();
       }
-      default -> throw new MalformedException("a value of an unknown kind: " + token);
+      default -> throw new MalformedException("unsupported type of value: " + token);
     }
   }
 }
--- a/src/main/java/hazelspoke/agreement/wire/Fields.java
+++ b/src/main/java/hazelspoke/agreement/wire/Fields.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The fields of one map that was read; those that nobody asks for are left alone. */
+/** Typed access to the fields of a decoded map. Unknown fields are ignored. */
 public final class Fields {
   private final Map<?, ?> map;
 
@@ -17,13 +17,13 @@
   }
 
   /**
-   * @throws MalformedException if there is none; so with all that follow
+   * @throws MalformedException if the field is missing or has another type; so do all methods below
    */
   public long number(String name) throws MalformedException {
     return get(name, Long.class);
   }
 
-  /** A number from 0 to the highest int. */
+  /** An integer from 0 to {@link Integer#MAX_VALUE}. */
   public int nonNegativeInt(String name) throws MalformedException {
     long number = number(name);
     if (number < 0 || number > Integer.MAX_VALUE) {
@@ -52,7 +52,7 @@
     List<Fields> out = new ArrayList<>();
     for (Object item : get(name, List.class)) {
       if (!(item instanceof Map<?, ?> fields)) {
-        throw new MalformedException(name + " is no list of maps");
+        throw new MalformedException(name + " is not a list of maps");
       }
       out.add(new Fields(fields));
     }
@@ -63,28 +63,28 @@
     List<String> out = new ArrayList<>();
     for (Object item : get(name, List.class)) {
       if (!(item instanceof String text)) {
-        throw new MalformedException(name + " is no list of texts");
+        throw new MalformedException(name + " is not a list of strings");
       }
       out.add(text);
     }
     return out;
   }
 
-  /** One of the names of an enum. */
-  public <E extends Enum<E>> E enumValue(String name, Class<E> of) throws MalformedException {
+  /** A constant of an enum, by its name. */
+  public <E extends Enum<E>> E enumValue(String name, Class<E> type) throws MalformedException {
     String text = text(name);
-    for (E value : of.getEnumConstants()) {
+    for (E value : type.getEnumConstants()) {
       if (value.name().equals(text)) {
         return value;
       }
     }
-    throw new MalformedException(name + " is unknown: " + text);
+    throw new MalformedException(name + " has an unknown value: " + text);
   }
 
   private <T> T get(String name, Class<T> type) throws MalformedException {
     Object value = map.get(name);
     if (!type.isInstance(value)) {
-      throw new MalformedException("field " + name + " is missing or of another kind");
+      throw new MalformedException("field " + name + " is missing or has another type");
     }
     return type.cast(value);
   }
--- a/src/main/java/hazelspoke/agreement/wire/package-info.java
+++ b/src/main/java/hazelspoke/agreement/wire/package-info.java
@@ -1,6 +1,6 @@
 /**
- * How gateways write down what they send to one another and keep: CBOR (RFC 8949), as maps with
- * named fields, so that a reader skips the fields that it does not know. What is read is bounded in
- * depth and in the number of values, whatever a peer sends.
+ * The encoding of messages between gateways and of stored data: CBOR (RFC 8949), as maps with named
+ * fields, so that a reader can skip fields that it does not know. Nesting depth and number of
+ * values are limited when decoding, whatever a peer sends.
  */
 package hazelspoke.agreement.wire;
