--- a/src/test/java/hazelspoke/agreement/store/RecordStoreTest.java
+++ b/src/test/java/hazelspoke/agreement/store/RecordStoreTest.java
@@ -15,37 +15,40 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Power failures, failing calls and flipped bytes, by simulation; and once on a real disk. */
+/**
+ * The store under simulated power failures, failing calls and flipped bytes, and once on a real
+ * disk.
+ */
 class RecordStoreTest {
-  /** More by {@code -Dstore.seeds=100000}. */
+  /** Can be raised, for instance with {@code -Dstore.seeds=100000}. */
   private static final long SEEDS = Long.getLong("store.seeds", 20_000);
 
-  /** Each mutant has to be found within so many. */
+  /** Every mutant has to be detected within this number of seeds. */
   private static final long MUTANT_SEEDS = 300;
 
   @Test
-  void whateverIsCutOffAnywhereWhatWasPromisedIsThereAndInOrder() {
-    String wrong =
+  void durableWritesSurvivePowerFailuresInOrder() {
+    String failure =
         LongStream.range(0, SEEDS)
             .parallel()
-            .mapToObj(seed -> wrong(seed, UnaryOperator.identity()))
+            .mapToObj(seed -> failure(seed, UnaryOperator.identity()))
             .filter(w -> w != null)
             .findFirst()
             .orElse(null);
-    assertThat(wrong).isNull();
+    assertThat(failure).isNull();
   }
 
-  private static String wrong(long seed, UnaryOperator<Disk> mutant) {
-    String wrong = StoreSimulation.run(seed, mutant);
-    return wrong == null ? null : "seed " + seed + ": " + wrong;
+  private static String failure(long seed, UnaryOperator<Disk> mutant) {
+    String failure = StoreSimulation.run(seed, mutant);
+    return failure == null ? null : "seed " + seed + ": " + failure;
   }
 
-  /** A store that lacks one guard, as a disk that does not do it for the store. */
+  /** A store that lacks one safeguard, simulated by a disk that leaves out the call. */
   private enum Mutant {
     NO_SYNC_BEFORE_A_VOTE_OR_AN_ACKNOWLEDGEMENT {
       @Override
-      Disk of(Disk disk) {
-        return new Passing(disk) {
+      Disk wrap(Disk disk) {
+        return new DelegatingDisk(disk) {
           @Override
           void sync(String name, Output out) throws IOException {
             if (!name.startsWith("segment-")) {
@@ -57,8 +60,8 @@
     },
     NO_SYNC_BEFORE_THE_SNAPSHOT_GETS_ITS_NAME {
       @Override
-      Disk of(Disk disk) {
-        return new Passing(disk) {
+      Disk wrap(Disk disk) {
+        return new DelegatingDisk(disk) {
           @Override
           void sync(String name, Output out) throws IOException {
             if (!name.startsWith("aside-")) {
@@ -70,8 +73,8 @@
     },
     NO_SYNC_OF_THE_FOLDER {
       @Override
-      Disk of(Disk disk) {
-        return new Passing(disk) {
+      Disk wrap(Disk disk) {
+        return new DelegatingDisk(disk) {
           @Override
           public void syncDirectory() {}
         };
@@ -79,8 +82,8 @@
     },
     WHAT_WAS_READ_AT_OPENING_COUNTS_AS_LASTING {
       @Override
-      Disk of(Disk disk) {
-        return new Passing(disk) {
+      Disk wrap(Disk disk) {
+        return new DelegatingDisk(disk) {
           @Override
           public void rename(String from, String to) throws IOException {
             if (to.startsWith("segment-")) {
@@ -94,8 +97,8 @@
     },
     A_SYNC_THAT_FAILED_IS_TRIED_AGAIN {
       @Override
-      Disk of(Disk disk) {
-        return new Passing(disk) {
+      Disk wrap(Disk disk) {
+        return new DelegatingDisk(disk) {
           @Override
           void sync(String name, Output out) throws IOException {
             try {
@@ -109,8 +112,8 @@
     },
     A_WRITE_THAT_FAILED_IS_PASSED_OVER {
       @Override
-      Disk of(Disk disk) {
-        return new Passing(disk) {
+      Disk wrap(Disk disk) {
+        return new DelegatingDisk(disk) {
           @Override
           void write(Output out, byte[] bytes) throws IOException {
             try {
@@ -123,23 +126,23 @@
       }
     };
 
-    abstract Disk of(Disk disk);
+    abstract Disk wrap(Disk disk);
   }
 
   @ParameterizedTest
   @EnumSource(Mutant.class)
-  void aStoreThatLacksAGuardIsFound(Mutant mutant) {
+  void simulationDetectsMissingSafeguard(Mutant mutant) {
     long seed = 0;
-    while (seed < MUTANT_SEEDS && wrong(seed, mutant::of) == null) {
+    while (seed < MUTANT_SEEDS && failure(seed, mutant::wrap) == null) {
       seed++;
     }
-    assertThat(seed).as("not found in so many seeds").isLessThan(MUTANT_SEEDS);
+    assertThat(seed).as("number of seeds without a failure").isLessThan(MUTANT_SEEDS);
   }
 
-  private static class Passing implements Disk {
+  private static class DelegatingDisk implements Disk {
     private final Disk disk;
 
-    Passing(Disk disk) {
+    DelegatingDisk(Disk disk) {
       this.disk = disk;
     }
 
@@ -167,12 +170,12 @@
       return new Output() {
         @Override
         public void write(byte[] bytes) throws IOException {
-          Passing.this.write(out, bytes);
+          DelegatingDisk.this.write(out, bytes);
         }
 
         @Override
         public void sync() throws IOException {
-          Passing.this.sync(name, out);
+          DelegatingDisk.this.sync(name, out);
         }
 
         @Override
@@ -198,7 +201,7 @@
     }
   }
 
-  /** Votes, entries, a cut, a snapshot, several segments. */
+  /** Writes votes, entries, a truncation and a snapshot, in several segments. */
   private static void fill(RecordStore store) throws IOException {
     store.saveVote(3, "g2");
     for (int i = 1; i <= 12; i++) {
@@ -213,42 +216,48 @@
     store.sync();
   }
 
-  /** A byte that is another one is never taken for a torn tail, wherever it is. */
+  /**
+   * A flipped byte must never be mistaken for a torn tail, wherever it is: truncating there could
+   * lose a vote.
+   */
   @Test
-  void noFlippedByteMakesAVoterForget() throws Exception {
+  void flippedByteNeverLosesData() throws Exception {
     SimDisk disk = new SimDisk(1);
     try (RecordStore store = RecordStore.open(disk, 200)) {
       fill(store);
     }
-    RecoveredState right = RecordStore.open(disk.copy(), 200).recovered();
-    assertThat(right.votedFor()).isEqualTo("g1");
-    assertThat(right.entries()).hasSize(11);
+    RecoveredState expected = RecordStore.open(disk.copy(), 200).recovered();
+    assertThat(expected.votedFor()).isEqualTo("g1");
+    assertThat(expected.entries()).hasSize(11);
     int damaged = 0;
     int flips = 0;
     for (String file : disk.list()) {
       int length = disk.read(file).length;
-      for (int at = 0; at < length; at++) {
+      for (int offset = 0; offset < length; offset++) {
         for (int mask : new int[] {0x01, 0x10, 0x80, 0xff}) {
           SimDisk flipped = disk.copy();
-          flipped.flip(file, at, mask);
+          flipped.flip(file, offset, mask);
           flips++;
           try {
             assertThat(RecordStore.open(flipped, 200).recovered())
-                .as("%s at %d", file, at)
-                .isEqualTo(right);
+                .as("%s at %d", file, offset)
+                .isEqualTo(expected);
           } catch (StoreDamagedException e) {
             damaged++;
           }
         }
       }
     }
-    // All but the end marks, which no whole frame needs.
+    // Only flipped end marks are tolerated, as a complete frame is valid without its end mark.
     assertThat(damaged).isGreaterThan(flips * 9 / 10);
   }
 
-  /** But for the newest segment: that is an older copy of the disk, which nobody can tell alone. */
+  /**
+   * The newest segment is the exception: without it the files are an earlier state of the disk,
+   * which cannot be told from them alone.
+   */
   @Test
-  void aFileThatIsMissingIsMissed() throws Exception {
+  void detectsMissingFile() throws Exception {
     SimDisk disk = new SimDisk(1);
     try (RecordStore store = RecordStore.open(disk, 200)) {
       fill(store);
@@ -256,12 +265,12 @@
     String newest =
         disk.list().stream().filter(f -> f.startsWith("segment")).max(String::compareTo).get();
     for (String file : disk.list()) {
-      SimDisk less = disk.copy();
-      less.delete(file);
+      SimDisk incomplete = disk.copy();
+      incomplete.delete(file);
       if (file.equals(newest)) {
-        RecordStore.open(less, 200).close();
+        RecordStore.open(incomplete, 200).close();
       } else {
-        assertThatThrownBy(() -> RecordStore.open(less, 200))
+        assertThatThrownBy(() -> RecordStore.open(incomplete, 200))
             .as(file)
             .isInstanceOf(StoreDamagedException.class);
       }
@@ -269,7 +278,7 @@
   }
 
   @Test
-  void aSecondVoteInATermAndATermThatHasPassedAreRefused() throws Exception {
+  void rejectsSecondVoteInATermAndEarlierTerms() throws Exception {
     try (RecordStore store = RecordStore.open(new SimDisk(1))) {
       store.saveVote(2, "");
       store.saveVote(2, "g1");
@@ -284,8 +293,8 @@
   }
 
   @Test
-  void onARealDiskItIsFoundAgainAndATornTailIsCutOffAndSaid(@TempDir Path folder) throws Exception {
-    Path data = folder.resolve("record");
+  void recoversFromRealDiskAndTruncatesTornTail(@TempDir Path directory) throws Exception {
+    Path data = directory.resolve("record");
     try (RecordStore store = RecordStore.open(new FileDisk(data), 200)) {
       fill(store);
     }
--- a/src/test/java/hazelspoke/agreement/store/SimDisk.java
+++ b/src/test/java/hazelspoke/agreement/store/SimDisk.java
@@ -15,13 +15,13 @@
 import java.util.function.Consumer;
 
 /**
- * A disk that keeps no more than it has promised. After a power failure of each file there is what
- * was synced, some of what was written since, and perhaps zeros in the place of the rest; of names
- * made, changed or taken away since the folder was synced any may be as before. Calls can be made
- * to fail, or to be the last before the power does.
+ * A simulated disk that guarantees no more than {@link Disk} does. After a power failure a file has
+ * its synced bytes, some of the bytes written since, and possibly zeros in place of the remainder;
+ * each creation, rename and deletion since the last sync of the directory may be undone. Calls can
+ * be made to fail, or to be interrupted by a power failure.
  */
 public final class SimDisk implements Disk {
-  /** The power fails within this call. */
+  /** Thrown by the call during which the power fails. */
   public static final class PowerFailure extends RuntimeException {
     private static final long serialVersionUID = 1;
   }
@@ -30,52 +30,54 @@
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     int synced;
 
-    /** What a sync has failed to write, and what later syncs take for written. */
+    /** Ranges that a failed sync did not write and that later syncs regard as clean. */
     final List<int[]> holes = new ArrayList<>();
   }
 
   private final Random random;
   private TreeMap<String, Node> names = new TreeMap<>();
-  private Map<String, Node> lasting = new HashMap<>();
+  private Map<String, Node> durable = new HashMap<>();
   private final List<Consumer<Map<String, Node>>> pending = new ArrayList<>();
 
-  /** Calls until the power fails, or until one fails; below 0 for never. */
+  /** Number of calls before the one in which the power fails; below 0 for never. */
   public int powerFailsIn = -1;
 
+  /** Number of calls before one that fails; below 0 for never. */
   public int failsIn = -1;
 
   public SimDisk(long seed) {
     random = new Random(seed);
   }
 
-  /** The power fails and comes back. */
+  /** Simulates a power failure and restart. */
   public void crash() {
     powerFailsIn = -1;
     failsIn = -1;
-    TreeMap<String, Node> left = new TreeMap<>(lasting);
+    TreeMap<String, Node> remaining = new TreeMap<>(durable);
     for (Consumer<Map<String, Node>> change : pending) {
       if (random.nextBoolean()) {
-        change.accept(left);
+        change.accept(remaining);
       }
     }
     pending.clear();
     names = new TreeMap<>();
-    left.forEach((name, node) -> names.put(name, after(node)));
-    lasting = new HashMap<>(names);
+    remaining.forEach((name, node) -> names.put(name, afterPowerFailure(node)));
+    durable = new HashMap<>(names);
   }
 
-  private Node after(Node node) {
+  private Node afterPowerFailure(Node node) {
     byte[] all = node.bytes.toByteArray();
     int unsynced = all.length - node.synced;
     int kept = node.synced + random.nextInt(unsynced + 1);
-    byte[] left = Arrays.copyOf(all, kept + random.nextInt(all.length - kept + 1));
-    Arrays.fill(left, Math.min(kept, left.length), left.length, (byte) 0);
+    byte[] content = Arrays.copyOf(all, kept + random.nextInt(all.length - kept + 1));
+    Arrays.fill(content, Math.min(kept, content.length), content.length, (byte) 0);
     for (int[] hole : node.holes) {
-      Arrays.fill(left, Math.min(hole[0], left.length), Math.min(hole[1], left.length), (byte) 0);
+      Arrays.fill(
+          content, Math.min(hole[0], content.length), Math.min(hole[1], content.length), (byte) 0);
     }
     Node out = new Node();
-    out.bytes.writeBytes(left);
-    out.synced = left.length;
+    out.bytes.writeBytes(content);
+    out.synced = content.length;
     return out;
   }
 
@@ -89,15 +91,15 @@
     return fails;
   }
 
-  private void call() throws IOException {
+  private void countCall() throws IOException {
     if (fails()) {
       throw new IOException("no space left on device");
     }
   }
 
-  private void change(Consumer<Map<String, Node>> what) {
-    what.accept(names);
-    pending.add(what);
+  private void change(Consumer<Map<String, Node>> update) {
+    update.accept(names);
+    pending.add(update);
   }
 
   private Node node(String name) throws IOException {
@@ -108,7 +110,7 @@
     return node;
   }
 
-  /** A byte of a file is another one from now on. */
+  /** Flips bits of one byte of a file. */
   void flip(String name, int at, int mask) throws IOException {
     byte[] bytes = read(name);
     bytes[at] ^= (byte) mask;
@@ -116,29 +118,31 @@
     node.bytes.writeBytes(bytes);
     node.synced = bytes.length;
     names.put(name, node);
-    lasting.put(name, node);
+    durable.put(name, node);
   }
 
-  /** Puts one file of this disk, as it is, on another. */
+  /**
+   * Copies one file of this disk to another, in the state that a power failure would leave it in.
+   */
   public void copyTo(SimDisk other, String name) {
     Node node = names.get(name);
     if (node != null) {
-      other.names.put(name, after(node));
-      other.lasting.put(name, other.names.get(name));
+      other.names.put(name, afterPowerFailure(node));
+      other.durable.put(name, other.names.get(name));
     }
   }
 
-  /** Another disk with the same on it. */
+  /** Returns a disk with the same files. */
   public SimDisk copy() {
     SimDisk copy = new SimDisk(1);
     copy.names.putAll(names);
-    copy.lasting.putAll(names);
+    copy.durable.putAll(names);
     return copy;
   }
 
   @Override
   public Set<String> list() throws IOException {
-    call();
+    countCall();
     return Set.copyOf(names.keySet());
   }
 
@@ -149,7 +153,7 @@
 
   @Override
   public Output create(String name) throws IOException {
-    call();
+    countCall();
     if (names.containsKey(name)) {
       throw new FileAlreadyExistsException(name);
     }
@@ -175,7 +179,7 @@
       @Override
       public void sync() throws IOException {
         if (fails()) {
-          // The pages count as clean from now on, and were never written.
+          // The pages count as clean from now on, although they were never written.
           node.holes.add(new int[] {node.synced, node.bytes.size()});
           throw new IOException("input/output error");
         }
@@ -189,7 +193,7 @@
 
   @Override
   public void rename(String from, String to) throws IOException {
-    call();
+    countCall();
     node(from);
     change(
         map -> {
@@ -202,15 +206,15 @@
 
   @Override
   public void delete(String name) throws IOException {
-    call();
+    countCall();
     node(name);
     change(map -> map.remove(name));
   }
 
   @Override
   public void syncDirectory() throws IOException {
-    call();
+    countCall();
     pending.clear();
-    lasting = new HashMap<>(names);
+    durable = new HashMap<>(names);
   }
 }
--- a/src/test/java/hazelspoke/agreement/store/StoreSimulation.java
+++ b/src/test/java/hazelspoke/agreement/store/StoreSimulation.java
@@ -7,29 +7,29 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Drives a store over a {@link SimDisk} with calls, power failures and failing calls drawn from a
- * seed, and holds what it finds at each opening against what it was promised: the state after the
- * last call that promised to last, or after one of those that came since.
+ * Runs a store on a {@link SimDisk} with random calls, power failures and failing calls, all
+ * derived from a seed. Each time the store is opened, its state has to be that after the last
+ * durable call, or after one of the calls since.
  */
 final class StoreSimulation {
   private static final int SEGMENT_BYTES = 400;
   private static final int STEPS = 120;
 
-  /** What a store holds, as its caller sees it. */
+  /** The expected state of a store. */
   private record State(int term, String votedFor, Snapshot snapshot, List<Entry> entries) {
-    long last() {
+    long lastIndex() {
       return entries.isEmpty() ? snapshot.index() : entries.get(entries.size() - 1).index();
     }
   }
 
   private final Random random;
   private final SimDisk disk;
-  private final Disk seen;
+  private final Disk storeDisk;
   private RecordStore store;
-  private State now = new State(0, "", Snapshot.NONE, List.of());
+  private State expected = new State(0, "", Snapshot.NONE, List.of());
 
-  /** The states that may be found at the next opening. */
-  private final List<State> possible = new ArrayList<>(List.of(now));
+  /** The states that the store may have when it is opened next. */
+  private final List<State> possible = new ArrayList<>(List.of(expected));
 
   int openings;
   int failures;
@@ -37,20 +37,20 @@
   private StoreSimulation(long seed, UnaryOperator<Disk> mutant) {
     random = new Random(seed);
     disk = new SimDisk(seed);
-    seen = mutant.apply(disk);
+    storeDisk = mutant.apply(disk);
   }
 
-  /** Runs one seed; returns null, or what was wrong. */
+  /** Runs one seed; returns null, or a description of the failure. */
   static String run(long seed, UnaryOperator<Disk> mutant) {
-    StoreSimulation s = new StoreSimulation(seed, mutant);
+    StoreSimulation simulation = new StoreSimulation(seed, mutant);
     try {
-      s.open();
+      simulation.open();
       for (int i = 0; i < STEPS; i++) {
-        s.step();
+        simulation.step();
       }
       return null;
     } catch (StoreDamagedException e) {
-      return "taken for damaged: " + e.getMessage();
+      return "reported as damaged: " + e.getMessage();
     } catch (IOException | AssertionError | IllegalArgumentException e) {
       return e.toString();
     }
@@ -62,7 +62,7 @@
         if (random.nextInt(4) == 0) {
           disk.powerFailsIn = random.nextInt(12);
         }
-        store = RecordStore.open(seen, SEGMENT_BYTES);
+        store = RecordStore.open(storeDisk, SEGMENT_BYTES);
         disk.powerFailsIn = -1;
         break;
       } catch (SimDisk.PowerFailure e) {
@@ -70,25 +70,27 @@
       }
     }
     openings++;
-    RecoveredState r = store.recovered();
-    State found = new State(r.term(), r.votedFor(), r.snapshot(), r.entries());
+    RecoveredState recovered = store.recovered();
+    State found =
+        new State(
+            recovered.term(), recovered.votedFor(), recovered.snapshot(), recovered.entries());
     if (!possible.contains(found)) {
-      throw new AssertionError("found " + found + "; possible were " + possible);
+      throw new AssertionError("found " + found + "; possible states: " + possible);
     }
-    if (store.lastIndex() != found.last()) {
+    if (store.lastIndex() != found.lastIndex()) {
       throw new AssertionError("last index " + store.lastIndex() + " of " + found);
     }
-    now = found;
-    lasts();
+    expected = found;
+    markDurable();
   }
 
-  private void lasts() {
+  private void markDurable() {
     possible.clear();
-    possible.add(now);
+    possible.add(expected);
   }
 
-  private void becomes(State next) {
-    now = next;
+  private void update(State next) {
+    expected = next;
     possible.add(next);
   }
 
@@ -99,38 +101,38 @@
       disk.failsIn = random.nextInt(6);
     }
     try {
-      act();
+      performRandomCall();
     } catch (SimDisk.PowerFailure e) {
       disk.crash();
       open();
     } catch (IOException e) {
       failures++;
-      refusesAll();
+      checkRejectsAllCalls();
       if (random.nextBoolean()) {
         disk.crash();
       }
-      // Else only the process starts again, and reads what the system has kept in memory.
+      // Otherwise only the process restarts, and reads what is in the page cache.
       open();
     }
   }
 
-  private void act() throws IOException, StoreDamagedException {
+  private void performRandomCall() throws IOException, StoreDamagedException {
     switch (random.nextInt(12)) {
       case 0, 1 -> {
-        int term = now.term() + 1 + random.nextInt(2);
+        int term = expected.term() + 1 + random.nextInt(2);
         String vote = random.nextInt(4) == 0 ? "" : "g" + random.nextInt(5);
-        becomes(new State(term, vote, now.snapshot(), now.entries()));
+        update(new State(term, vote, expected.snapshot(), expected.entries()));
         store.saveVote(term, vote);
-        lasts();
+        markDurable();
       }
       case 2 -> {
         store.sync();
-        lasts();
+        markDurable();
       }
       case 3 -> {
-        long from = now.snapshot().index() + 1 + random.nextInt(now.entries().size() + 2);
-        List<Entry> left = now.entries().stream().filter(e -> e.index() < from).toList();
-        becomes(new State(now.term(), now.votedFor(), now.snapshot(), left));
+        long from = expected.snapshot().index() + 1 + random.nextInt(expected.entries().size() + 2);
+        List<Entry> remaining = expected.entries().stream().filter(e -> e.index() < from).toList();
+        update(new State(expected.term(), expected.votedFor(), expected.snapshot(), remaining));
         store.truncateFrom(from);
       }
       case 4 -> snapshot();
@@ -143,10 +145,12 @@
       default -> {
         byte[] data = new byte[random.nextInt(90)];
         random.nextBytes(data);
-        Entry entry = new Entry(now.last() + 1, now.term(), data);
-        List<Entry> more = new ArrayList<>(now.entries());
+        Entry entry = new Entry(expected.lastIndex() + 1, expected.term(), data);
+        List<Entry> more = new ArrayList<>(expected.entries());
         more.add(entry);
-        becomes(new State(now.term(), now.votedFor(), now.snapshot(), List.copyOf(more)));
+        update(
+            new State(
+                expected.term(), expected.votedFor(), expected.snapshot(), List.copyOf(more)));
         store.append(entry);
       }
     }
@@ -155,32 +159,35 @@
   private void snapshot() throws IOException {
     long beyond = random.nextInt(6) == 0 ? 5 : 0;
     long index =
-        now.snapshot().index() + 1 + beyond + random.nextInt(Math.max(1, now.entries().size()));
-    if (index > now.last() && beyond == 0) {
+        expected.snapshot().index()
+            + 1
+            + beyond
+            + random.nextInt(Math.max(1, expected.entries().size()));
+    if (index > expected.lastIndex() && beyond == 0) {
       return;
     }
     byte[] data = new byte[random.nextInt(300)];
     random.nextBytes(data);
-    Snapshot snapshot = new Snapshot(index, now.term(), data);
-    List<Entry> left = now.entries().stream().filter(e -> e.index() > index).toList();
-    becomes(new State(now.term(), now.votedFor(), snapshot, left));
+    Snapshot snapshot = new Snapshot(index, expected.term(), data);
+    List<Entry> remaining = expected.entries().stream().filter(e -> e.index() > index).toList();
+    update(new State(expected.term(), expected.votedFor(), snapshot, remaining));
     store.saveSnapshot(snapshot);
-    lasts();
+    markDurable();
   }
 
-  private void refusesAll() {
+  private void checkRejectsAllCalls() {
     disk.failsIn = -1;
     disk.powerFailsIn = -1;
     for (int i = 0; i < 3; i++) {
       try {
         switch (i) {
           case 0 -> store.sync();
-          case 1 -> store.saveVote(now.term() + 9, "g9");
+          case 1 -> store.saveVote(expected.term() + 9, "g9");
           default -> store.append(new Entry(store.lastIndex() + 1, 1, new byte[1]));
         }
-        throw new AssertionError("a store that has failed goes on");
-      } catch (IOException expected) {
-        // As promised.
+        throw new AssertionError("a store that has failed accepts a call");
+      } catch (IOException e) {
+        // Expected: a store that has failed rejects every call.
       }
     }
   }
--- a/src/test/java/hazelspoke/agreement/wire/CborTest.java
+++ b/src/test/java/hazelspoke/agreement/wire/CborTest.java
@@ -9,10 +9,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What peers send, whatever that is. */
+/** Decoding of valid, malformed and oversized messages. */
 class CborTest {
   @Test
-  void fieldsComeBackAndUnknownOnesAreLeftAlone() throws Exception {
+  void readsWrittenFieldsAndIgnoresUnknownOnes() throws Exception {
     Fields in =
         Cbor.read(
             Cbor.write(
@@ -39,36 +39,37 @@
   }
 
   @Test
-  void anyBytesAreReadOrTurnedDown() {
+  void decodesOrRejectsMutatedBytes() {
     Random random = new Random(7);
-    byte[] good = Cbor.write(Map.of("kind", "raft", "list", List.of(Map.of("a", 1), Map.of())));
-    int turnedDown = 0;
+    byte[] valid = Cbor.write(Map.of("kind", "raft", "list", List.of(Map.of("a", 1), Map.of())));
+    int rejected = 0;
     for (int i = 0; i < 20_000; i++) {
-      byte[] bytes = good.clone();
+      byte[] bytes = valid.clone();
       for (int j = 0; j <= random.nextInt(4); j++) {
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
       }
       try {
         Cbor.read(bytes);
       } catch (MalformedException e) {
-        turnedDown++;
+        rejected++;
       }
     }
-    assertThat(turnedDown).isBetween(1, 19_999);
+    assertThat(rejected).isBetween(1, 19_999);
   }
 
   @Test
-  void neitherDepthNorNumberFillsTheHeap() {
-    ByteArrayOutputStream many = new ByteArrayOutputStream();
-    many.writeBytes(new byte[] {(byte) 0xBF, 0x61, 'a', (byte) 0x9F});
-    many.writeBytes(new byte[Cbor.MAX_VALUES + 1]);
-    assertThatThrownBy(() -> Cbor.read(many.toByteArray()))
+  void rejectsTooManyValuesAndTooDeepNesting() {
+    ByteArrayOutputStream manyValues = new ByteArrayOutputStream();
+    manyValues.writeBytes(new byte[] {(byte) 0xBF, 0x61, 'a', (byte) 0x9F});
+    manyValues.writeBytes(new byte[Cbor.MAX_VALUES + 1]);
+    assertThatThrownBy(() -> Cbor.read(manyValues.toByteArray()))
         .isInstanceOf(MalformedException.class)
         .hasMessageContaining("values");
-    ByteArrayOutputStream deep = new ByteArrayOutputStream();
+    ByteArrayOutputStream deeplyNested = new ByteArrayOutputStream();
     for (int i = 0; i < 5_000; i++) {
-      deep.writeBytes(new byte[] {(byte) 0xA1, 0x61, 'a'});
+      deeplyNested.writeBytes(new byte[] {(byte) 0xA1, 0x61, 'a'});
     }
-    assertThatThrownBy(() -> Cbor.read(deep.toByteArray())).isInstanceOf(MalformedException.class);
+    assertThatThrownBy(() -> Cbor.read(deeplyNested.toByteArray()))
+        .isInstanceOf(MalformedException.class);
   }
 }
