--- a/src/main/java/hazelspoke/agreement/engine/Engine.java
+++ b/src/main/java/hazelspoke/agreement/engine/Engine.java
@@ -79,7 +79,7 @@
   private static final int MAX_ENTRIES_PER_APPEND = 200;
 
   private final VoterId self;
-  private final Object group;
+  private final Object groupId;
   private final Owner owner;
   private final Scheduler scheduler;
   private final VoterStore store;
@@ -116,7 +116,7 @@
    */
   public Engine(Setup setup) throws MalformedException {
     self = setup.self();
-    group = setup.fleet();
+    groupId = setup.fleet();
     owner = setup.owner();
     scheduler = setup.scheduler();
     store = new VoterStore(setup.store(), this::storeFailed, this::restartAfterConflict);
@@ -126,7 +126,7 @@
         new EngineExecutor(scheduler, setup.parameters().heartbeatNanos(), this::engineFault);
     RaftNode.RaftNodeBuilder builder =
         RaftNode.newBuilder()
-            .setGroupId(group)
+            .setGroupId(groupId)
             .setConfig(
                 RaftConfig.newBuilder()
                     .setLeaderHeartbeatPeriodSecs(1)
@@ -199,7 +199,7 @@
    * @throws MalformedException if it cannot be decoded, or names another sender
    */
   public void handle(String from, byte[] message) throws MalformedException {
-    RaftMessage received = Messages.read(message, group);
+    RaftMessage received = Messages.read(message, groupId);
     if (!((VoterId) received.getSender()).member().equals(from)) {
       throw new MalformedException(
           "a message in the name of " + received.getSender() + " came from " + from);
@@ -276,7 +276,7 @@
       node.handle(
           Operations.MODELS
               .createVoteRequestBuilder()
-              .setGroupId(group)
+              .setGroupId(groupId)
               .setSender(response.getSender())
               .setTerm(response.getTerm())
               .setLastLogTerm(0)
--- a/src/main/java/hazelspoke/agreement/net/FleetNode.java
+++ b/src/main/java/hazelspoke/agreement/net/FleetNode.java
@@ -97,8 +97,10 @@
   }
 
   /**
-   * Opens a node on a shared event loop, which it does not shut down, so that many nodes fit into
-   * one process; null for an event loop of its own. Must not be called on that loop.
+   * Opens a node like {@link #open(FleetSettings, Consumer, Runnable)}. Many nodes can share an
+   * event loop in one process; a shared loop is not shut down by the node.
+   *
+   * @param shared the event loop to run on, which must not be the caller's; null for one of its own
    */
   public static FleetNode open(
       FleetSettings settings, EventLoop shared, Consumer<String> log, Runnable onStatusChange) {
@@ -210,7 +212,10 @@
     return address;
   }
 
-  /** Whether the node has read the record since it started; callable from any thread. */
+  /**
+   * Whether the node has read a state of the record that is no older than its own start; callable
+   * from any thread.
+   */
   public boolean hasJoined() {
     return joined;
   }
--- a/src/main/java/hazelspoke/agreement/net/FrameHandler.java
+++ b/src/main/java/hazelspoke/agreement/net/FrameHandler.java
@@ -102,7 +102,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // A connection reset, or data that is not in frames.
+    // The connection was reset, or received data that is not a valid frame.
     context.close();
   }
 
--- a/src/main/java/hazelspoke/agreement/net/OperatorClient.java
+++ b/src/main/java/hazelspoke/agreement/net/OperatorClient.java
@@ -17,7 +17,7 @@
 public final class OperatorClient implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MS = 2_000;
 
-  /** How much longer than the member's own timeout the client waits for a response. */
+  /** Added to a call's patience, which the member itself observes, as the timeout of the socket. */
   private static final int GRACE_MS = 2_000;
 
   private final Socket socket = new Socket();
@@ -27,7 +27,7 @@
   private long lastNumber;
 
   /**
-   * Connects.
+   * Connects to a member and exchanges greetings.
    *
    * @param fleet the fleet that the member has to belong to
    * @throws IOException if there is no response, or the member belongs to another fleet
--- a/src/main/java/hazelspoke/agreement/net/Traffic.java
+++ b/src/main/java/hazelspoke/agreement/net/Traffic.java
@@ -1,7 +1,7 @@
 package hazelspoke.agreement.net;
 
 /**
- * Bytes of frames since the start, including the four-byte length prefix of each.
+ * Bytes of all frames since the start, including each frame's length prefix of four bytes.
  *
  * @param receivedBytes bytes received
  * @param sentBytes bytes sent or queued for sending
--- a/src/main/java/hazelspoke/agreement/store/Frame.java
+++ b/src/main/java/hazelspoke/agreement/store/Frame.java
@@ -138,7 +138,8 @@
   }
 
   /**
-   * A frame that was completely written has its end mark, even if the bytes before it are damaged.
+   * Tells a torn frame from a damaged one: a frame that was completely written has its end mark,
+   * which is not 0, even if the bytes before it are damaged.
    */
   private ReadResult tornIfZerosFrom(int start) {
     for (int i = start; i < file.length; i++) {
--- a/src/main/java/hazelspoke/agreement/store/RecordStore.java
+++ b/src/main/java/hazelspoke/agreement/store/RecordStore.java
@@ -115,7 +115,7 @@
       throw new IllegalArgumentException(entry + " does not follow " + lastIndex);
     }
     write(Frame.Kind.ENTRY, Frame.numbers(entry.index(), entry.term()), entry.data());
-    // Only now, as the write may have started a new segment, to which the entry then belongs.
+    // Updated after the write, which may have started a new segment that the entry then belongs to.
     highestIndex = Math.max(highestIndex, entry.index());
     lastIndex = entry.index();
   }
@@ -304,8 +304,8 @@
     }
     startSegment(segments.number, segments.validLength);
     if (snapshotIndex > 0) {
-      // A crash may have come before this frame was written, and later indexes are checked against
-      // it.
+      // A crash may have kept this frame from being written; the indexes of later entries are
+      // checked against it.
       write(Frame.Kind.BASE, Frame.numbers(snapshotIndex));
       sync();
     }
--- a/src/main/java/hazelspoke/agreement/wire/Fields.java
+++ b/src/main/java/hazelspoke/agreement/wire/Fields.java
@@ -17,7 +17,10 @@
   }
 
   /**
-   * @throws MalformedException if the field is missing or has another type; so do all methods below
+   * Reads an integer.
+   *
+   * @throws MalformedException if the field is missing or has another type; the other methods throw
+   *     it for the same reason
    */
   public long number(String name) throws MalformedException {
     return get(name, Long.class);
