--- a/src/main/java/hazelspoke/agreement/net/Traffic.java
+++ b/src/main/java/hazelspoke/agreement/net/Traffic.java
@@ -1,9 +1,9 @@
 package hazelspoke.agreement.net;
 
 /**
- * Bytes of frames since the start, their lengths' four bytes each included.
+ * Bytes of all frames since the start, including each frame's length prefix of four bytes.
  *
- * @param receivedBytes that came
- * @param sentBytes that were handed to the system, or wait to be
+ * @param receivedBytes bytes received
+ * @param sentBytes bytes sent or queued for sending
  */
 public record Traffic(long receivedBytes, long sentBytes) {}
