--- a/src/main/java/hazelspoke/config/TomlSection.java
+++ b/src/main/java/hazelspoke/config/TomlSection.java
@@ -131,7 +131,7 @@
     }
   }
 
-  /** Returns the max similar of some names within {@link #MAX_EDIT_DISTANCE}, or null. */
+  /** Returns the most similar of some names within {@link #MAX_EDIT_DISTANCE}, or null. */
   static String closest(String name, Iterable<String> names) {
     String best = null;
     int min = MAX_EDIT_DISTANCE + 1;
--- a/src/main/java/hazelspoke/operations/GatewayMetrics.java
+++ b/src/main/java/hazelspoke/operations/GatewayMetrics.java
@@ -49,8 +49,8 @@
   public GatewayMetrics(List<String> classNames) {
     registry.register("known_hosts", (Gauge<Integer>) () -> knownHosts);
     registry.register("skipped_hosts", (Gauge<Integer>) () -> skippedHosts);
-    for (LateAnswer why : LateAnswer.values()) {
-      late.put(why, registry.counter("late." + why.name().toLowerCase(Locale.ROOT)));
+    for (LateAnswer reason : LateAnswer.values()) {
+      late.put(reason, registry.counter("late." + reason.name().toLowerCase(Locale.ROOT)));
     }
     for (Violations.Kind kind : Violations.Kind.values()) {
       String name = kind.name().toLowerCase(Locale.ROOT);
@@ -94,8 +94,8 @@
   }
 
   @Override
-  public void onLateAnswer(LateAnswer why) {
-    late.get(why).inc();
+  public void onLateAnswer(LateAnswer reason) {
+    late.get(reason).inc();
   }
 
   @Override
@@ -122,7 +122,7 @@
   }
 
   /**
-   * Returns a appendLine for each metric, such as {@code svc.passed.reserve=812}, sorted by name.
+   * Returns a line for each metric, such as {@code svc.passed.reserve=812}, sorted by name.
    */
   public String text() {
     StringBuilder text = new StringBuilder();
