--- a/src/main/java/hazelspoke/operations/GatewayMetrics.java
+++ b/src/main/java/hazelspoke/operations/GatewayMetrics.java
@@ -121,9 +121,7 @@
     registry.register(name, (Gauge<Long>) value::getAsLong);
   }
 
-  /**
-   * Returns a line for each metric, such as {@code svc.passed.reserve=812}, sorted by name.
-   */
+  /** Returns a line for each metric, such as {@code svc.passed.reserve=812}, sorted by name. */
   public String text() {
     StringBuilder text = new StringBuilder();
     for (Map.Entry<String, Counter> counter : registry.getCounters().entrySet()) {
