--- a/src/main/java/hazelspoke/emulator/model/Arrival.java
+++ b/src/main/java/hazelspoke/emulator/model/Arrival.java
@@ -1,19 +1,19 @@
 package hazelspoke.emulator.model;
 
 /**
- * One request as it was planned, before anybody asks it.
+ * One planned request of the load.
  *
- * @param number from 0, in the order of asking
- * @param atMs when it is to be asked, since the start of the load
- * @param site place of the client's site
- * @param requestClass place of its class
- * @param key what it is about
- * @param workMs on a core of speed 1, before the noise of an attempt
- * @param hintUs what the client says of its work, in microseconds
+ * @param number sequence number from 0, in sending order
+ * @param atMs planned send time, from the start of the load
+ * @param site index of the client's site
+ * @param requestClass index of its request class
+ * @param key the entity that it refers to
+ * @param workMs on a core of speed 1, before the noise of each attempt
+ * @param hintUs the client's estimate of the work, in microseconds
  */
 public record Arrival(
     int number, double atMs, int site, int requestClass, int key, double workMs, long hintUs) {
-  /** The same, asked so much later. */
+  /** Returns a copy sent later by {@code byMs} milliseconds. */
   public Arrival later(double byMs) {
     return new Arrival(number, atMs + byMs, site, requestClass, key, workMs, hintUs);
   }
--- a/src/main/java/hazelspoke/emulator/model/ColdOverloadDetector.java
+++ b/src/main/java/hazelspoke/emulator/model/ColdOverloadDetector.java
@@ -4,19 +4,19 @@
 import java.util.Deque;
 
 /**
- * Watches what is sent to a cold host. It falls over once the work that reached it within the span
- * is more than the multiple of what it can do in such a span at its present capacity. Work counts
- * whether it was taken in or turned away.
+ * Detects the overload of a cold host. The host fails once the work that reached it within the span
+ * exceeds the multiple of what it can do in that span at its present capacity. Work counts whether
+ * it was accepted or rejected.
  */
 public final class ColdOverloadDetector {
-  /** Chance is let pass: two bursts in a row are no push. */
-  private static final double SLACK = 1.15;
+  /** Tolerance for random variation: two bursts in a row are no overload. */
+  private static final double OVERLOAD_TOLERANCE = 1.15;
 
   private final double multiple;
   private final double spanMs;
-  private final Deque<double[]> sent = new ArrayDeque<>();
-  private double sum;
-  private double told;
+  private final Deque<double[]> receivedWork = new ArrayDeque<>();
+  private double totalWork;
+  private double informedWork;
 
   public ColdOverloadDetector(double multiple, double spanMs) {
     this.multiple = multiple;
@@ -24,26 +24,27 @@
   }
 
   /**
-   * Notes work that reached the host.
+   * Records work that reached the host.
    *
-   * @param capacity what it can do now, in work a millisecond
-   * @param knew whether the gateway that sent it had been told of the start
-   * @return whether the host falls over
+   * @param capacity present capacity, in work per millisecond
+   * @param senderInformed whether the gateway that receivedWork it had been informed of the host's
+   *     start
+   * @return whether the host fails from overload
    */
-  public boolean recordWork(double workMs, boolean knew, double capacity, double now) {
-    sent.add(new double[] {now, workMs, knew ? workMs : 0});
-    sum += workMs;
-    told += knew ? workMs : 0;
-    while (now - sent.peek()[0] > spanMs) {
-      double[] old = sent.poll();
-      sum -= old[1];
-      told -= old[2];
+  public boolean recordWork(double workMs, boolean senderInformed, double capacity, double now) {
+    receivedWork.add(new double[] {now, workMs, senderInformed ? workMs : 0});
+    totalWork += workMs;
+    informedWork += senderInformed ? workMs : 0;
+    while (now - receivedWork.peek()[0] > spanMs) {
+      double[] old = receivedWork.poll();
+      totalWork -= old[1];
+      informedWork -= old[2];
     }
-    return sum > SLACK * multiple * capacity * spanMs;
+    return totalWork > OVERLOAD_TOLERANCE * multiple * capacity * spanMs;
   }
 
-  /** The share of what counts now that came from gateways that knew. */
+  /** The share of the work within the span that came from gateways informed of the host's start. */
   public double informedShare() {
-    return sum > 0 ? told / sum : 0;
+    return totalWork > 0 ? informedWork / totalWork : 0;
   }
 }
--- a/src/main/java/hazelspoke/emulator/model/Job.java
+++ b/src/main/java/hazelspoke/emulator/model/Job.java
@@ -1,35 +1,36 @@
 package hazelspoke.emulator.model;
 
-/** One request at a host: what it needs and how far it has come. */
+/** One request at a host, with its remaining work. */
 public final class Job {
-  /** How a request ends at a host. */
+  /** The result of a request at a host. */
   public enum End {
     SERVED,
     ERROR,
-    /** Never begun: the queue is full, the host drains, or the request is over already. */
+    /** Never started: the queue is full, the host drains, or the request has expired. */
     TURNED_AWAY
   }
 
   final String key;
   final double deadline;
   final boolean failsAtEnd;
-  double left;
+  double remainingMs;
 
-  /** Whoever waited for it has gone. */
+  /** Whether the caller has disconnected. */
   boolean cancelled;
 
-  /** What the owner wants to find it by. */
+  /** The owner's handle for this job. */
   public final Object tag;
 
   /**
-   * @param key what the request is about, or null; work on a key seen lately takes less
+   * @param key the entity that the request refers to, or null; work on a recently used key takes
+   *     less
    * @param workMs on a core of speed 1
-   * @param deadline when its client stops waiting, on the host's clock
+   * @param deadline when its client times out, on the host's clock
    */
   public Job(Object tag, String key, double workMs, double deadline, boolean failsAtEnd) {
     this.tag = tag;
     this.key = key;
-    this.left = workMs;
+    this.remainingMs = workMs;
     this.deadline = deadline;
     this.failsAtEnd = failsAtEnd;
   }
--- a/src/main/java/hazelspoke/emulator/model/LinkName.java
+++ b/src/main/java/hazelspoke/emulator/model/LinkName.java
@@ -1,10 +1,10 @@
 package hazelspoke.emulator.model;
 
 /**
- * The way from one gateway to one host, as scripts and reports call it: {@code g1>s3}.
+ * The name of a link from a gateway to a host in scripts and reports: {@code g1>s3}.
  *
  * @param from the gateway, such as {@code g1}
- * @param to the host as it was drawn, such as {@code s3}; one that replaces it stands in its place
+ * @param to the original name of the host, such as {@code s3}; a replacement host keeps it
  */
 public record LinkName(String from, String to) {
   private static final String ARROW = ">";
@@ -14,14 +14,14 @@
   }
 
   /**
-   * Reads one.
+   * Parses a link name.
    *
-   * @throws IllegalArgumentException for what is none
+   * @throws IllegalArgumentException if the text is not a link name
    */
   public static LinkName parse(String text) {
     int arrow = text.indexOf(ARROW);
     if (arrow <= 0 || arrow == text.length() - 1) {
-      throw new IllegalArgumentException("no link: " + text);
+      throw new IllegalArgumentException("not a link name (expected FROM>TO): " + text);
     }
     return new LinkName(text.substring(0, arrow), text.substring(arrow + 1));
   }
--- a/src/main/java/hazelspoke/emulator/model/LinkState.java
+++ b/src/main/java/hazelspoke/emulator/model/LinkState.java
@@ -4,88 +4,89 @@
 import java.util.List;
 
 /**
- * What holds on one way between two processes while several faults lie on it at once: the worst of
- * each. Faults come and go in any order; each is a {@link Impairment}, taken back as the same
- * object. Decides only; a relay carries it out.
+ * Combines the faults that are active on one link between two processes into their joint effect:
+ * the strictest of each kind, and the sum of the delays. Faults begin and end in any order; each is
+ * an {@link Impairment}, removed by identity. A relay applies the result.
  */
 public final class LinkState {
-  /** What a caller finds at an address. */
+  /** How an address reacts to new connections. */
   public enum AcceptMode {
-    /** Somebody accepts. */
+    /** Connections are accepted. */
     OPEN,
-    /** The system there refuses. */
+    /** The operating system refuses connections. */
     REFUSING,
-    /** Nothing answers: a connection never comes up. */
+    /** Nothing answers: a connection is never established. */
     SILENT
   }
 
-  /** One fault on the way; compared by identity, as two may be alike. */
+  /** One fault on the link; compared by identity, as two may be equal. */
   public static final class Impairment {
     private final boolean refuses;
-    private final boolean holdsThere;
-    private final boolean holdsBack;
+    private final boolean blocksForward;
+    private final boolean blocksReverse;
     private final double delayMs;
 
-    private Impairment(boolean refuses, boolean holdsThere, boolean holdsBack, double delayMs) {
+    private Impairment(
+        boolean refuses, boolean blocksForward, boolean blocksReverse, double delayMs) {
       this.refuses = refuses;
-      this.holdsThere = holdsThere;
-      this.holdsBack = holdsBack;
+      this.blocksForward = blocksForward;
+      this.blocksReverse = blocksReverse;
       this.delayMs = delayMs;
     }
 
-    /** New connections are refused; the relay resets what is open. */
+    /** Refuses new connections; the relay resets open ones. */
     public static Impairment cut() {
       return new Impairment(true, false, false, 0);
     }
 
-    /** Nothing passes on the way there, on the way back, or both. */
-    public static Impairment silence(boolean there, boolean back) {
-      return new Impairment(false, there, back, 0);
+    /** Blocks the forward direction, the reverse direction, or both. */
+    public static Impairment silence(boolean forward, boolean reverse) {
+      return new Impairment(false, forward, reverse, 0);
     }
 
-    /** Every byte comes so much later, in milliseconds, each way. */
+    /** Delays every byte by this many milliseconds in each direction. */
     public static Impairment delay(double ms) {
       return new Impairment(false, false, false, ms);
     }
   }
 
-  private final List<Impairment> troubles = new ArrayList<>();
-  private AcceptMode host = AcceptMode.REFUSING;
+  private final List<Impairment> impairments = new ArrayList<>();
+  private AcceptMode hostMode = AcceptMode.REFUSING;
 
-  /** A fault begins. */
-  public void add(Impairment trouble) {
-    troubles.add(trouble);
+  /** Adds a fault. */
+  public void add(Impairment impairment) {
+    impairments.add(impairment);
   }
 
-  /** A fault is over; harmless for one that is not on. */
-  public void remove(Impairment trouble) {
-    troubles.removeIf(t -> t == trouble);
+  /** Removes a fault; does nothing for one that is not active. */
+  public void remove(Impairment impairment) {
+    impairments.removeIf(t -> t == impairment);
   }
 
-  /** What its host does at its own address. */
-  public void setHostAcceptMode(AcceptMode door) {
-    host = door;
+  /** Sets how the host's own address reacts to new connections. */
+  public void setHostAcceptMode(AcceptMode mode) {
+    hostMode = mode;
   }
 
   /**
-   * What a caller finds. A packet that is refused on the way never gets so far as to vanish, and
-   * one that vanishes never meets the host; either direction lost leaves a connection that does not
-   * come up.
+   * Returns how the link reacts to new connections. A refusal takes precedence over a blocked
+   * direction, as a refused packet never reaches the point of loss, and a blocked direction over
+   * the host's own state. With either direction blocked a connection is not established.
    */
   public AcceptMode acceptMode() {
-    if (troubles.stream().anyMatch(t -> t.refuses)) {
+    if (impairments.stream().anyMatch(t -> t.refuses)) {
       return AcceptMode.REFUSING;
     }
-    return holds(true) || holds(false) ? AcceptMode.SILENT : host;
+    return isBlocked(true) || isBlocked(false) ? AcceptMode.SILENT : hostMode;
   }
 
-  /** Whether nothing passes now, there or back; what was sent waits, as TCP sends it again. */
-  public boolean holds(boolean there) {
-    return troubles.stream().anyMatch(t -> there ? t.holdsThere : t.holdsBack);
+  /** Whether a direction is blocked now; data in transit waits, as TCP retransmits it. */
+  public boolean isBlocked(boolean forward) {
+    return impairments.stream().anyMatch(t -> forward ? t.blocksForward : t.blocksReverse);
   }
 
-  /** How much later bytes come, in milliseconds, each way. */
+  /** The delay of bytes in each direction, in milliseconds. */
   public double delayMs() {
-    return troubles.stream().mapToDouble(t -> t.delayMs).sum();
+    return impairments.stream().mapToDouble(t -> t.delayMs).sum();
   }
 }
--- a/src/main/java/hazelspoke/emulator/model/Outcome.java
+++ b/src/main/java/hazelspoke/emulator/model/Outcome.java
@@ -1,12 +1,12 @@
 package hazelspoke.emulator.model;
 
 /**
- * What became of one request over all its tries.
+ * The result of one request over all its client attempts.
  *
- * @param latencyMs from the planned moment of asking, however late the asking itself was
+ * @param latencyMs measured from the planned send time, even if the request was sent late
  */
 public record Outcome(Arrival arrival, int tries, Result result, double latencyMs) {
-  /** How a request can end for its client. */
+  /** The result of a request for its client. */
   public enum Result {
     SERVED,
     REFUSED,
--- a/src/main/java/hazelspoke/emulator/model/Registry.java
+++ b/src/main/java/hazelspoke/emulator/model/Registry.java
@@ -7,11 +7,11 @@
 import java.util.PriorityQueue;
 
 /**
- * The list of hosts as discovery has it: what happens to a host becomes news some time later. Told
- * the time by its caller.
+ * The host list of discovery: a change of a host is published some time later. The caller supplies
+ * the time.
  */
 public final class Registry {
-  /** What the list says of a host. */
+  /** The listed status of a host. */
   public enum Status {
     READY("Ready"),
     TERMINATING("Terminating"),
@@ -29,10 +29,10 @@
   }
 
   /**
-   * One entry.
+   * One entry of the list.
    *
-   * @param sinceMs when the host started, Unix time; 0 for long ago
-   * @param index the version of the list that brought it
+   * @param sinceMs when the host started, in Unix milliseconds; 0 for long ago
+   * @param index the list version that introduced it
    */
   public record Entry(
       String name,
@@ -43,19 +43,21 @@
       Status status,
       long sinceMs,
       long index) {
-    /** The same host as one is told who reaches it by another address. */
+    /**
+     * Returns the entry with another address, for a gateway that reaches the host through a relay.
+     */
     public Entry reachedAt(String other) {
       return new Entry(name, other, zone, kind, group, status, sinceMs, index);
     }
 
-    Entry at(long version) {
+    Entry withIndex(long version) {
       return new Entry(name, address, zone, kind, group, status, sinceMs, version);
     }
   }
 
-  private record News(double at, long order, Entry entry) {}
+  private record Announcement(double at, long order, Entry entry) {}
 
-  private final PriorityQueue<News> pending =
+  private final PriorityQueue<Announcement> pending =
       new PriorityQueue<>(
           (a, b) ->
               a.at() != b.at()
@@ -64,35 +66,35 @@
   private final Map<String, Entry> entries = new LinkedHashMap<>();
   private long index = 1;
   private long order;
-  private double lateMs;
+  private double announcementDelayMs;
 
-  /** Puts an entry on the list at once: what is there from the start. */
+  /** Adds an initial entry to the list at once. */
   public void put(Entry entry) {
-    entries.put(entry.name(), entry.at(index));
+    entries.put(entry.name(), entry.withIndex(index));
   }
 
   /**
-   * An entry that will be news after this time, and later still while news is late. What was to be
-   * said of the host and has not been said yet is dropped.
+   * Publishes an entry after {@code afterMs} plus the present announcement delay. A pending
+   * announcement of the same host is dropped.
    */
   public void announce(Entry entry, double now, double afterMs) {
     pending.removeIf(n -> n.entry().name().equals(entry.name()));
-    pending.add(new News(now + afterMs + lateMs, order++, entry));
+    pending.add(new Announcement(now + afterMs + announcementDelayMs, order++, entry));
   }
 
-  /** From now on news comes later by this much. */
-  public void setAnnouncementDelay(double byMs) {
-    lateMs = byMs;
+  /** Sets the additional delay of later announcements. */
+  public void setAnnouncementDelay(double delayMs) {
+    announcementDelayMs = delayMs;
   }
 
-  /** Moves the list on; returns what has changed. */
+  /** Publishes all announcements that are due and returns the changed entries. */
   public List<Entry> advance(double now) {
     List<Entry> out = new ArrayList<>();
     while (!pending.isEmpty() && pending.peek().at() <= now) {
       if (out.isEmpty()) {
         index++;
       }
-      Entry entry = pending.poll().entry().at(index);
+      Entry entry = pending.poll().entry().withIndex(index);
       out.add(entry);
       entries.put(entry.name(), entry);
     }
@@ -103,12 +105,12 @@
     return index;
   }
 
-  /** All that is listed; what has gone is left out. */
+  /** All listed entries, without removed hosts. */
   public List<Entry> all() {
     return entries.values().stream().filter(e -> e.status() != Status.GONE).toList();
   }
 
-  /** What changed after this version; all of the list for version 0 or one that never was. */
+  /** The entries changed after this version; the full list for version 0 or an unknown version. */
   public List<Entry> since(long version) {
     return version <= 0 || version > index
         ? all()
--- a/src/main/java/hazelspoke/emulator/model/ServerSpec.java
+++ b/src/main/java/hazelspoke/emulator/model/ServerSpec.java
@@ -4,25 +4,25 @@
 import java.util.SplittableRandom;
 
 /**
- * What one stock server is: drawn once, and the same after a restart. Times are in milliseconds;
- * work is in milliseconds on a core of speed 1.
+ * The properties of one stock server: drawn once and unchanged by a restart. Times are in
+ * milliseconds; work is in milliseconds on a core of speed 1.
  *
- * @param site place of its site in the script
- * @param group number of the hosts that share a memory for repeats of keyed requests
- * @param speeds of its cores; each runs one request at a time
- * @param queue requests that may wait
- * @param thrash slowing for each request a core beyond {@code thrashAt} requests a core
- * @param coldFrom share of its capacity right after a start
- * @param coldMs after which it is warm
- * @param pauseEveryMs mean time between short pauses of its own, of {@code pauseMs}
- * @param connections open ones it holds at most
- * @param handshakeMs work of a new connection
- * @param firstMs by how much the first request on a connection is later
- * @param idleMs after which a connection at rest is closed
- * @param warmGain share of the work saved for a key seen lately
- * @param warmMs for how long a key is remembered
- * @param warmKeys how many keys are
- * @param probeMs work of a probe
+ * @param site index of its site in the script
+ * @param group number of the group of hosts that share an {@link IdempotencyWindow}
+ * @param speeds speed of each core; a core runs one request at a time
+ * @param queue maximum number of queued requests
+ * @param thrash slowdown per request per core beyond {@code thrashAt} requests per core
+ * @param coldFrom share of its capacity directly after a cold start
+ * @param coldMs time from a cold start to full capacity
+ * @param pauseEveryMs mean time between short pauses of {@code pauseMs}
+ * @param connections maximum number of open connections
+ * @param handshakeMs work of accepting a connection
+ * @param firstMs additional delay of the first request on a connection
+ * @param idleMs time after which an idle connection is closed
+ * @param warmGain share of the work saved for a recently used key
+ * @param warmMs how long a key stays in the cache
+ * @param warmKeys maximum number of cached keys
+ * @param probeMs work of answering a probe
  */
 public record ServerSpec(
     String name,
@@ -51,14 +51,14 @@
     double reportNoise) {
   private static final int CORES = 3;
 
-  /** The first are warm after this part of the longest time. */
-  private static final double LEAST_COLD = 3.6 / 8.5;
+  /** Shortest warm-up, as a share of the longest. */
+  private static final double MIN_COLD_SHARE = 3.6 / 8.5;
 
   public ServerSpec {
     speeds = List.copyOf(speeds);
   }
 
-  /** Draws one of a kind. */
+  /** Draws a server of the given kind. */
   static ServerSpec draw(
       String name,
       int site,
@@ -66,7 +66,7 @@
       int group,
       double warmGain,
       double warmMs,
-      double mostColdMs,
+      double maxColdMs,
       SplittableRandom r) {
     double low = kind.equals("large") ? 1.1 : kind.equals("medium") ? 0.85 : 0.59;
     double high = kind.equals("large") ? 1.5 : kind.equals("medium") ? 1.1 : 0.8;
@@ -83,7 +83,7 @@
         SeededRandom.between(r, 0.035, 0.14),
         SeededRandom.between(r, 3.5, 9),
         SeededRandom.between(r, 0.31, 0.55),
-        mostColdMs * SeededRandom.between(r, LEAST_COLD, 1),
+        maxColdMs * SeededRandom.between(r, MIN_COLD_SHARE, 1),
         SeededRandom.between(r, 3_000, 12_000),
         SeededRandom.between(r, 0, 140),
         SeededRandom.between(r, 0, 0.002),
@@ -100,7 +100,7 @@
         SeededRandom.between(r, 0.07, 0.17));
   }
 
-  /** The same machine under another name. */
+  /** Returns the same properties under another name. */
   public ServerSpec named(String other) {
     return new ServerSpec(
         other,
@@ -129,7 +129,7 @@
         reportNoise);
   }
 
-  /** Work it can do in a millisecond when warm and not crowded. */
+  /** Work per millisecond when warm and not overloaded. */
   public double capacity() {
     return speeds.stream().mapToDouble(Double::doubleValue).sum();
   }
--- a/src/main/java/hazelspoke/emulator/model/StockServer.java
+++ b/src/main/java/hazelspoke/emulator/model/StockServer.java
@@ -9,21 +9,24 @@
 import java.util.Map;
 
 /**
- * A stock server as a queue with cores, on a clock that the caller moves: no I/O, no time of its
- * own. Work is time simulated and not burnt, so hundreds of them fit in one process. Whatever was
- * due between two calls is played in its order and at its own moment, so that a caller that comes
- * late changes nothing in what follows.
+ * Models a stock server as a queue with cores. It does no I/O and has no clock: the caller advances
+ * the time. Work is simulated and uses no CPU time, so hundreds of servers fit in one process. All
+ * events due between two calls are processed in order and at their own times, so that a late caller
+ * does not change the result.
  */
 public final class StockServer {
-  /** Told what has ended, and at which moment. */
+  /** Receives each request that has ended, with its time. */
   public interface Listener {
     void ended(Job job, Job.End end, double atMs);
   }
 
-  /** The share grows in steps of this length while cold, the same whoever looks how often. */
-  private static final double STEP_MS = 50;
+  /**
+   * Capacity grows in steps of this length while cold, so that it does not depend on how often the
+   * server is polled.
+   */
+  private static final double WARM_UP_STEP_MS = 50;
 
-  private static final double DONE = 1e-9;
+  private static final double WORK_EPSILON_MS = 1e-9;
 
   private final ServerSpec spec;
   private final Listener listener;
@@ -34,17 +37,17 @@
   private final Map<String, Double> warmKeys;
   private final double startedAt;
   private double now;
-  private double slowBy = 1;
-  private boolean still;
+  private double slowdown = 1;
+  private boolean paused;
   private boolean draining;
 
-  /** Work of handshakes and probes, taken off the next core that gets free. */
-  private double debt;
+  /** Work of handshakes and probes, added to the next request that starts on a core. */
+  private double pendingOverheadMs;
 
   private long errors;
 
   /**
-   * @param coldSince when it started cold; negative infinity for one that has long been up
+   * @param coldSince when it started cold; negative infinity for a warm server
    */
   public StockServer(
       ServerSpec spec,
@@ -71,7 +74,7 @@
         };
   }
 
-  /** Takes a request; it may end within this call, turned away. */
+  /** Submits a request; it may be rejected within this call. */
   public void submit(Job job, double at) {
     advance(at);
     if (draining || waiting.size() >= spec.queue()) {
@@ -79,10 +82,10 @@
       return;
     }
     waiting.add(job);
-    fill();
+    startWaiting();
   }
 
-  /** Whoever waited has gone: what runs goes on; what waits is dropped, where hosts do that. */
+  /** Cancels a request: a running one continues; a queued one is dropped if hosts do that. */
   public void cancel(Job job, double at) {
     advance(at);
     job.cancelled = true;
@@ -91,35 +94,35 @@
     }
   }
 
-  /** Takes work that answers nothing: a handshake's or a probe's. */
+  /** Adds work that belongs to no request: a handshake or a probe. */
   public void addOverhead(double workMs) {
-    debt += workMs;
+    pendingOverheadMs += workMs;
   }
 
-  /** Cores slower by this factor. */
+  /** Slows the cores by this factor. */
   public void setSlowdown(double factor, double at) {
     advance(at);
-    slowBy = factor;
+    slowdown = factor;
   }
 
-  /** Cores stand still, or go on. */
+  /** Pauses or resumes the cores. */
   public void setPaused(boolean on, double at) {
     advance(at);
-    still = on;
+    paused = on;
   }
 
-  /** Takes nothing new any more. */
+  /** Rejects new requests from now on. */
   public void drain(double at) {
     advance(at);
     draining = true;
   }
 
-  /** Requests that it holds. */
+  /** Requests queued or running. */
   public int heldRequests() {
-    return waiting.size() + busy();
+    return waiting.size() + runningRequests();
   }
 
-  /** Requests that wait for a core. */
+  /** Requests waiting for a core. */
   public int queued() {
     return waiting.size();
   }
@@ -128,7 +131,7 @@
     return errors;
   }
 
-  /** The share of its capacity that it has at this moment, for being cold. */
+  /** The share of its full capacity available at this time; below 1 while cold. */
   public double warmth(double at) {
     double age = at - startedAt;
     return age >= spec.coldMs()
@@ -140,34 +143,34 @@
     return at - startedAt < spec.coldMs();
   }
 
-  /** When something will next happen unasked; positive infinity for never. */
+  /** The time of the next event; positive infinity if there is none. */
   public double next() {
-    if (still || busy() == 0) {
+    if (paused || runningRequests() == 0) {
       return Double.POSITIVE_INFINITY;
     }
-    return Math.min(nextEnd(), nextStep());
+    return Math.min(nextCompletion(), nextWarmUpStep());
   }
 
-  /** Plays everything up to this moment; an earlier one changes nothing. */
+  /** Processes all events up to this time; does nothing for an earlier one. */
   public void advance(double to) {
     while (now < to) {
-      double end = still ? to : Math.min(to, Math.min(nextEnd(), nextStep()));
-      if (!still) {
+      double end = paused ? to : Math.min(to, Math.min(nextCompletion(), nextWarmUpStep()));
+      if (!paused) {
         for (int i = 0; i < running.length; i++) {
           if (running[i] != null) {
-            running[i].left -= (end - now) * rate(i);
+            running[i].remainingMs -= (end - now) * rate(i);
           }
         }
       }
       now = end;
-      settle();
+      completeFinished();
     }
   }
 
-  private void settle() {
+  private void completeFinished() {
     for (int i = 0; i < running.length; i++) {
       Job job = running[i];
-      if (job != null && job.left <= DONE) {
+      if (job != null && job.remainingMs <= WORK_EPSILON_MS) {
         running[i] = null;
         if (job.key != null) {
           warmKeys.put(job.key, now);
@@ -178,10 +181,10 @@
         listener.ended(job, job.failsAtEnd ? Job.End.ERROR : Job.End.SERVED, now);
       }
     }
-    fill();
+    startWaiting();
   }
 
-  private void fill() {
+  private void startWaiting() {
     for (int i = 0; i < running.length; i++) {
       while (running[i] == null && !waiting.isEmpty()) {
         Job job = waiting.poll();
@@ -189,47 +192,56 @@
           listener.ended(job, Job.End.TURNED_AWAY, now);
           continue;
         }
-        Double seenAt = job.key == null ? null : warmKeys.get(job.key);
-        if (seenAt != null && now - seenAt <= spec.warmMs()) {
-          job.left *= 1 - spec.warmGain();
+        Double lastUsedAt = job.key == null ? null : warmKeys.get(job.key);
+        if (lastUsedAt != null && now - lastUsedAt <= spec.warmMs()) {
+          job.remainingMs *= 1 - spec.warmGain();
         }
-        job.left += debt;
-        debt = 0;
+        job.remainingMs += pendingOverheadMs;
+        pendingOverheadMs = 0;
         running[i] = job;
       }
     }
   }
 
   private double rate(int core) {
-    double crowd = Math.max(0, (double) heldRequests() / running.length - spec.thrashAt());
-    return spec.speeds().get(core) * warmth(stepAt()) / slowBy / (1 + spec.thrash() * crowd);
+    double excessRequestsPerCore =
+        Math.max(0, (double) heldRequests() / running.length - spec.thrashAt());
+    return spec.speeds().get(core)
+        * warmth(currentStepStart())
+        / slowdown
+        / (1 + spec.thrash() * excessRequestsPerCore);
   }
 
-  private double nextEnd() {
+  private double nextCompletion() {
     double next = Double.POSITIVE_INFINITY;
     for (int i = 0; i < running.length; i++) {
       if (running[i] != null) {
-        next = Math.min(next, now + Math.max(0, running[i].left) / rate(i));
+        next = Math.min(next, now + Math.max(0, running[i].remainingMs) / rate(i));
       }
     }
-    // A step too small for the clock's figures would never come.
+    // A step below the resolution of the clock would make no progress.
     return Math.max(next, Math.nextUp(now));
   }
 
-  private double nextStep() {
-    return isCold(now) ? Math.max(stepAt() + STEP_MS, Math.nextUp(now)) : Double.POSITIVE_INFINITY;
+  private double nextWarmUpStep() {
+    return isCold(now)
+        ? Math.max(currentStepStart() + WARM_UP_STEP_MS, Math.nextUp(now))
+        : Double.POSITIVE_INFINITY;
   }
 
-  /** When the present step began. */
-  private double stepAt() {
-    return isCold(now) ? startedAt + STEP_MS * Math.floor((now - startedAt) / STEP_MS + DONE) : now;
+  /** The start of the present warm-up step. */
+  private double currentStepStart() {
+    return isCold(now)
+        ? startedAt
+            + WARM_UP_STEP_MS * Math.floor((now - startedAt) / WARM_UP_STEP_MS + WORK_EPSILON_MS)
+        : now;
   }
 
-  private int busy() {
+  private int runningRequests() {
     return (int) Arrays.stream(running).filter(j -> j != null).count();
   }
 
-  /** All that it holds, for an end without answers. */
+  /** All queued and running requests, for a stop without responses. */
   public List<Job> jobs() {
     List<Job> out = new ArrayList<>(waiting);
     for (Job job : running) {
--- a/src/main/java/hazelspoke/emulator/model/Workload.java
+++ b/src/main/java/hazelspoke/emulator/model/Workload.java
@@ -8,19 +8,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Plans every request before the first is asked: arrivals are open-loop, a Poisson process whose
- * rate moves, so that no gateway's slowness slows the asking (Schroeder, Wierman, Harchol-Balter
+ * Plans every request before the first is sent. Arrivals are open-loop, a Poisson process with a
+ * varying rate, so that a slow gateway does not slow the load (Schroeder, Wierman, Harchol-Balter
  * 2006).
  */
 final class Workload {
   private static final double SEGMENT_MS = 1_000;
-  private static final double MS = 1_000;
+  private static final double MS_PER_S = 1_000;
   private static final double US_PER_MS = 1_000;
 
-  /** How far the sites' shares of the traffic lie apart. */
+  /** Relative spread of the sites' shares of the traffic. */
   private static final double SITE_SKEW = 0.3;
 
-  /** Hints are good, not exact. */
+  /** Coefficient of variation of the clients' estimates of their work. */
   private static final double HINT_CV = 0.1;
 
   private final Script script;
@@ -37,27 +37,28 @@
     SplittableRandom content = SeededRandom.stream(seed, "content");
     double[] segments = segments(SeededRandom.stream(seed, "segments"));
     double[] sites = sites(SeededRandom.stream(seed, "sites"));
-    double[] classes = cumulated(script.classes().stream().mapToDouble(c -> c.share()).toArray());
+    double[] classes =
+        cumulativeShares(script.classes().stream().mapToDouble(c -> c.share()).toArray());
     double[] keys = new double[load.keys()];
     for (int i = 0; i < keys.length; i++) {
       keys[i] = Math.pow(i + 1, -load.zipf());
     }
-    keys = cumulated(keys);
+    keys = cumulativeShares(keys);
     List<Arrival> out = new ArrayList<>();
     double at = 0;
     while (true) {
-      // A unit of the process is used up at the present rate, segment by segment.
+      // Inverts the cumulative rate of the process segment by segment.
       double units = -Math.log(1 - times.nextDouble());
       while (at < script.lengthMs()) {
         double rate = rate(at, segments);
-        double edge = edge(at);
-        double upToEdge = (edge - at) * rate;
-        if (upToEdge >= units) {
+        double nextRateChange = nextRateChange(at);
+        double unitsUntilChange = (nextRateChange - at) * rate;
+        if (unitsUntilChange >= units) {
           at += units / rate;
           break;
         }
-        units -= upToEdge;
-        at = edge;
+        units -= unitsUntilChange;
+        at = nextRateChange;
       }
       if (at >= script.lengthMs()) {
         return List.copyOf(out);
@@ -88,9 +89,9 @@
     }
   }
 
-  /** Requests a millisecond. */
+  /** Requests per millisecond. */
   private double rate(double at, double[] segments) {
-    double rate = script.load().rate() / MS * segments[(int) (at / SEGMENT_MS)];
+    double rate = script.load().rate() / MS_PER_S * segments[(int) (at / SEGMENT_MS)];
     for (Script.Surge s : script.load().surges()) {
       if (at >= s.atMs() && at < s.atMs() + s.forMs()) {
         rate *= s.factor();
@@ -99,17 +100,17 @@
     return rate;
   }
 
-  /** The next moment at which the rate may move. */
-  private double edge(double at) {
-    double edge = (Math.floor(at / SEGMENT_MS) + 1) * SEGMENT_MS;
+  /** The next time at which the rate may change. */
+  private double nextRateChange(double at) {
+    double nextRateChange = (Math.floor(at / SEGMENT_MS) + 1) * SEGMENT_MS;
     for (Script.Surge s : script.load().surges()) {
       for (double e : new double[] {s.atMs(), s.atMs() + s.forMs()}) {
         if (e > at) {
-          edge = Math.min(edge, e);
+          nextRateChange = Math.min(nextRateChange, e);
         }
       }
     }
-    return edge;
+    return nextRateChange;
   }
 
   private double[] segments(SplittableRandom random) {
@@ -131,10 +132,10 @@
     for (int i = 0; i < shares.length; i++) {
       shares[i] = 1 + SeededRandom.between(random, -SITE_SKEW, SITE_SKEW);
     }
-    return cumulated(shares);
+    return cumulativeShares(shares);
   }
 
-  private static double[] cumulated(double[] shares) {
+  private static double[] cumulativeShares(double[] shares) {
     double[] out = shares.clone();
     Arrays.parallelPrefix(out, Double::sum);
     double sum = out[out.length - 1];
@@ -144,8 +145,8 @@
     return out;
   }
 
-  private static int pick(double[] cumulated, double unit) {
-    int i = Arrays.binarySearch(cumulated, unit);
-    return Math.min(cumulated.length - 1, i >= 0 ? i + 1 : -i - 1);
+  private static int pick(double[] cumulativeShares, double unit) {
+    int i = Arrays.binarySearch(cumulativeShares, unit);
+    return Math.min(cumulativeShares.length - 1, i >= 0 ? i + 1 : -i - 1);
   }
 }
--- a/src/main/java/hazelspoke/emulator/model/World.java
+++ b/src/main/java/hazelspoke/emulator/model/World.java
@@ -13,12 +13,12 @@
 import java.util.stream.IntStream;
 
 /**
- * All that a script and a seed fix before anything starts: the hosts, every request that will be
- * asked, and which hosts and gateways each fault strikes. Two worlds of one script and seed are the
- * same, and their digests say so.
+ * Everything that a script and a seed determine before a rehearsal starts: the hosts, all requests,
+ * and the hosts and gateways that each fault affects. Two worlds of the same script and seed are
+ * equal and have the same digest.
  *
- * @param gatewaySites the site of each gateway, by its number
- * @param affected the names of what each fault strikes, in the order of the script
+ * @param gatewaySites the site index of each gateway, by gateway number
+ * @param affected the names that each fault affects, in the order of the script
  */
 public record World(
     Script script,
@@ -29,7 +29,7 @@
     List<List<String>> affected,
     String digest) {
 
-  /** Draws the world of a script. */
+  /** Draws the world of a script from a seed. */
   public static World draw(Script script, long seed) {
     List<ServerSpec> servers = servers(script, seed);
     List<Integer> gatewaySites = new ArrayList<>();
@@ -55,13 +55,13 @@
     double all = fleet.large() + fleet.medium() + fleet.small();
     List<String> kinds = new ArrayList<>();
     for (int i = 0; i < fleet.servers(); i++) {
-      double place = (i + 0.5) / fleet.servers() * all;
+      double position = (i + 0.5) / fleet.servers() * all;
       kinds.add(
-          place < fleet.large()
+          position < fleet.large()
               ? "large"
-              : place < fleet.large() + fleet.medium() ? "medium" : "small");
+              : position < fleet.large() + fleet.medium() ? "medium" : "small");
     }
-    // Fisher and Yates: which host is of which kind is chance, how many are is not.
+    // Fisher-Yates shuffle: the assignment of kinds is random, their counts are fixed.
     for (int i = kinds.size() - 1; i > 0; i--) {
       Collections.swap(kinds, i, random.nextInt(i + 1));
     }
@@ -104,8 +104,8 @@
             out.add(s.name());
           }
         }
-        int wanted = (int) Math.ceil(target.share() * out.size() - 1e-9);
-        while (out.size() > wanted) {
+        int targetCount = (int) Math.ceil(target.share() * out.size() - 1e-9);
+        while (out.size() > targetCount) {
           out.remove(random.nextInt(out.size()));
         }
       }
@@ -130,7 +130,7 @@
         }
       }
       default -> {
-        // Strikes nobody by name.
+        // Affects no named process.
       }
     }
     return List.copyOf(out);
--- a/src/main/java/hazelspoke/emulator/net/Link.java
+++ b/src/main/java/hazelspoke/emulator/net/Link.java
@@ -346,7 +346,7 @@
         if (over || hostForgotten || !sinkOf(this).isActive()) {
           return;
         }
-        boolean held = state.holds(isThere);
+        boolean held = state.isBlocked(isThere);
         while (!held && !ended && !waiting.isEmpty() && waiting.peek().dueAt <= stage.now()) {
           pass(waiting.poll());
           if (over) {
--- a/src/test/java/hazelspoke/emulator/model/LinkStateTest.java
+++ b/src/test/java/hazelspoke/emulator/model/LinkStateTest.java
@@ -35,8 +35,8 @@
         boolean there = on.stream().anyMatch(t -> holds(t, true));
         boolean back = on.stream().anyMatch(t -> holds(t, false));
         boolean cut = on.stream().anyMatch(LinkStateTest::refuses);
-        assertThat(state.holds(true)).isEqualTo(there);
-        assertThat(state.holds(false)).isEqualTo(back);
+        assertThat(state.isBlocked(true)).isEqualTo(there);
+        assertThat(state.isBlocked(false)).isEqualTo(back);
         assertThat(state.acceptMode())
             .isEqualTo(
                 cut ? AcceptMode.REFUSING : there || back ? AcceptMode.SILENT : AcceptMode.OPEN);
@@ -50,7 +50,7 @@
   private static boolean holds(Impairment trouble, boolean there) {
     LinkState alone = new LinkState();
     alone.add(trouble);
-    return alone.holds(there);
+    return alone.isBlocked(there);
   }
 
   private static boolean refuses(Impairment trouble) {
