--- a/src/main/java/hazelspoke/agreement/member/Member.java
+++ b/src/main/java/hazelspoke/agreement/member/Member.java
@@ -23,63 +23,63 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 
-/** One member of a fleet, voter or not. All calls on its turns. */
+/** A member of a fleet, voter or not. Not thread-safe: all calls run on its event loop. */
 public final class Member {
-  /** What the owner is told. */
+  /** Receives notifications of the member. */
   public interface Listener {
-    /** Something that operators may want to read, as {@code key=value} pairs after a first word. */
+    /** An event for operators: a name, then {@code key=value} pairs. */
     void event(String line);
 
-    /** What is known here has changed. */
+    /** The view of the fleet or the status of the session may have changed. */
     void changed();
   }
 
-  /** How long a command of this member's own is tried, in terms. */
-  private static final int PATIENCE_TERMS = 6;
+  /** How long this member attempts its own commands, in lease durations. */
+  private static final int COMMAND_TIMEOUT_LEASES = 6;
 
-  /** Whose vote has ended, as a leader says, looks so much more seldom whether it is stuck. */
-  private static final int REMOVED_RESTS = 8;
+  /** A member that no longer counts as a voter waits this many times longer for a restart. */
+  private static final int REMOVED_RESTART_FACTOR = 8;
 
-  /** Of the questions for the founders each so many says whom it waits for. */
-  private static final int TELL_EVERY = 20;
+  /** One in this many requests for the founders reports which voters are missing. */
+  private static final int WHO_REQUESTS_PER_EVENT = 20;
 
   private final MemberSettings settings;
   private final Scheduler scheduler;
   private final Random random;
-  private final Transport wire;
+  private final Transport transport;
   private final Disk disk;
   private final Listener listener;
-  private final Components parts;
+  private final Components components;
   private final LeaderCalls calls;
   private final LocalSession session;
   private final Leadership leadership;
 
-  private StoreIdentity home;
-  private Bootstrap founding;
+  private StoreIdentity identity;
+  private Bootstrap bootstrap;
   private Engine engine;
   private RecordStore store;
   private final Feed feed;
-  private final FeedSubscriber follower;
-  private int asked;
+  private final FeedSubscriber subscriber;
+  private int whoRequests;
   private boolean diskFailed;
   private boolean stopped;
 
   /**
-   * Begins, and goes on by itself.
+   * Starts the member, which runs until {@link #leave} or {@link #stop}.
    *
-   * @param random of this life alone; it draws names that nobody else may draw
-   * @throws IOException if the folder cannot be read or written
-   * @throws WrongFolderException if it is another member's
+   * @param random not shared with any other process; it generates unique ids
+   * @throws IOException if the data directory cannot be read or written
+   * @throws WrongDataDirectoryException if it belongs to another member or fleet
    */
   public Member(
       MemberSettings settings,
       Disk disk,
       Scheduler scheduler,
       Random random,
-      Transport wire,
+      Transport transport,
       Listener listener)
       throws IOException, WrongDataDirectoryException {
-    this(settings, disk, scheduler, random, wire, listener, new Components());
+    this(settings, disk, scheduler, random, transport, listener, new Components());
   }
 
   Member(
@@ -87,50 +87,58 @@
       Disk disk,
       Scheduler scheduler,
       Random random,
-      Transport wire,
+      Transport transport,
       Listener listener,
-      Components parts)
+      Components components)
       throws IOException, WrongDataDirectoryException {
     this.settings = settings;
-    this.parts = parts;
+    this.components = components;
     this.disk = disk;
     this.scheduler = scheduler;
     this.random = random;
-    this.wire = wire;
+    this.transport = transport;
     this.listener = listener;
     try {
-      home = StoreIdentity.open(disk, settings.fleet(), settings.self(), random);
+      identity = StoreIdentity.open(disk, settings.fleet(), settings.self(), random);
       openStore();
     } catch (MalformedException | StoreDamagedException e) {
-      // What it has voted may be among what is gone, so it must never vote under that name again.
+      // Votes may be among the lost data, so this member must never vote under that id again.
       listener.event("damaged why=\"" + e.getMessage() + "\" then=\"waits to be made a voter\"");
-      home = StoreIdentity.renew(disk, settings.fleet(), settings.self(), random);
+      identity = StoreIdentity.replace(disk, settings.fleet(), settings.self(), random);
     }
-    long patience = 4 * settings.heartbeatNanos();
-    calls = new LeaderCalls(settings, wire, scheduler, random, patience);
+    long attemptTimeoutNanos = 4 * settings.heartbeatNanos();
+    calls = new LeaderCalls(settings, transport, scheduler, random, attemptTimeoutNanos);
     session =
-        new LocalSession(settings, home, calls, scheduler, random, this::learn, listener, parts);
-    FeedSettings pace = parts.pace(settings);
-    feed = parts.feed(scheduler, pace, () -> engine.record());
-    follower =
-        parts.follower(
-            settings.self(), scheduler, random, pace, calls::voters, new FollowerOwner());
-    leadership = new Leadership(settings, scheduler, random, wire, listener, parts);
-    if (!home.founders().isEmpty()) {
+        new LocalSession(
+            settings,
+            identity,
+            calls,
+            scheduler,
+            random,
+            this::replyReceived,
+            listener,
+            components);
+    FeedSettings feedSettings = components.feedSettings(settings);
+    feed = components.feed(scheduler, feedSettings, () -> engine.record());
+    subscriber =
+        components.subscriber(
+            settings.self(), scheduler, random, feedSettings, calls::voters, new SubscriberOwner());
+    leadership = new Leadership(settings, scheduler, random, transport, listener, components);
+    if (!identity.founders().isEmpty()) {
       startEngine();
-      watch();
+      restartIfStuck();
     } else if (settings.isVoter()) {
-      founding = new Bootstrap(settings.voters(), home.voter());
-      found(founding.heardNew(settings.self(), home.name()));
+      bootstrap = new Bootstrap(settings.voters(), identity.voterId());
+      bootstrapFrom(bootstrap.learnNewVoter(settings.self(), identity.storeId()));
       askWho();
     }
-    session.begin();
-    follower.begin();
+    session.start();
+    subscriber.start();
     leadership.tick();
   }
 
   private void openStore() throws IOException, StoreDamagedException, MalformedException {
-    if (!home.founders().isEmpty()) {
+    if (!identity.founders().isEmpty()) {
       if (!RecordStore.existsIn(disk)) {
         throw new MalformedException("all segments are missing");
       }
@@ -145,46 +153,51 @@
   private void startEngine() throws IOException {
     try {
       engine =
-          parts.engine(
+          components.engine(
               new Engine.Setup(
                   settings.fleet(),
-                  home.voter(),
-                  home.founders(),
+                  identity.voterId(),
+                  identity.founders(),
                   store,
                   new Engine.Parameters(settings.heartbeatNanos(), settings.snapshotEvery()),
                   scheduler,
                   random,
                   new EngineOwner()));
-      leadership.engine(engine, home.founders());
+      leadership.start(engine, identity.founders());
     } catch (MalformedException e) {
-      throw new IOException("the store cannot be gone on from: " + e.getMessage(), e);
+      throw new IOException("the store cannot be restored: " + e.getMessage(), e);
     }
   }
 
   /**
-   * Starts a voter's engine anew from its disk when it has heard of no leader for long, as if its
-   * process had been. MicroRaft 0.7 needs it: a follower that has asked for votes beforehand and
-   * then hears of a leader of the same term keeps the mark that it is asking, and when that leader
-   * dies it never asks again. If its log is the longest, nobody else is elected either.
+   * Restarts a voter's engine from its disk after a long time without a leader, as a restart of the
+   * process would. This works around a defect of MicroRaft 0.7: a follower that has started a
+   * pre-vote and then learns of a leader of the same term still counts as having a pre-vote in
+   * progress, so it never starts another one after that leader has failed. If its log is the
+   * longest, no other voter can be elected either.
    */
-  private void watch() {
+  private void restartIfStuck() {
     if (stopped || diskFailed) {
       return;
     }
-    // One that was removed may never hear of it, and has nobody to wait for.
-    boolean removed = !calls.voters().contains(settings.self());
-    int stuck = parts.stuckHeartbeats() * (removed ? REMOVED_RESTS : 1);
-    long silent = scheduler.nanos() - engine.lastLeaderContactNanos();
+    // A removed voter may never learn of its removal, and no leader contacts it any more.
+    boolean isRemoved = !calls.voters().contains(settings.self());
+    int restartHeartbeats =
+        components.heartbeatsBeforeRestart() * (isRemoved ? REMOVED_RESTART_FACTOR : 1);
+    long leaderSilentNanos = scheduler.nanos() - engine.lastLeaderContactNanos();
     if (!engine.isLeader()
-        && silent > stuck * settings.heartbeatNanos()
-        && engine.voters().contains(home.voter())) {
-      listener.event("restarts engine leader_silent_ms=" + silent / 1_000_000);
+        && leaderSilentNanos > restartHeartbeats * settings.heartbeatNanos()
+        && engine.voters().contains(identity.voterId())) {
+      listener.event("restarts engine leader_silent_ms=" + leaderSilentNanos / 1_000_000);
       restartEngine();
     }
-    // As often where it was removed: it may be made a voter again meanwhile.
+    // The check interval does not depend on the removal, as the member may become a voter again.
     scheduler.schedule(
-        (long) (settings.heartbeatNanos() * parts.stuckHeartbeats() * (0.5 + random.nextDouble())),
-        this::watch);
+        (long)
+            (settings.heartbeatNanos()
+                * components.heartbeatsBeforeRestart()
+                * (0.5 + random.nextDouble())),
+        this::restartIfStuck);
   }
 
   private void restartEngine() {
@@ -197,141 +210,145 @@
       store = RecordStore.open(disk);
       startEngine();
     } catch (IOException e) {
-      failed(e);
+      diskFailed(e);
     } catch (StoreDamagedException e) {
-      failed(new IOException(e.getMessage(), e));
+      diskFailed(new IOException(e.getMessage(), e));
     }
   }
 
-  /** Asks round until the founders are known. */
+  /** Asks all voters repeatedly until the founders are known. */
   private void askWho() {
     if (stopped || engine != null) {
       return;
     }
-    Map<String, Object> who = Packets.of(Packets.WHO);
-    who.put("home", home.name());
-    for (String voter : calls.everybody(settings.voters())) {
-      wire.send(voter, Cbor.write(who));
+    Map<String, Object> who = Packets.ofKind(Packets.WHO);
+    who.put("home", identity.storeId());
+    for (String voter : calls.otherVoters(settings.voters())) {
+      transport.send(voter, Cbor.write(who));
     }
-    if (++asked % TELL_EVERY == 0) {
-      listener.event("waits for=founding missing=" + founding.missing());
+    if (++whoRequests % WHO_REQUESTS_PER_EVENT == 0) {
+      listener.event("waits for=founding missing=" + bootstrap.missing());
     }
     scheduler.schedule(
         settings.heartbeatNanos() + (long) (random.nextDouble() * settings.heartbeatNanos()),
         this::askWho);
   }
 
-  private void found(List<VoterId> founders) throws IOException {
+  private void bootstrapFrom(List<VoterId> founders) throws IOException {
     if (founders.isEmpty() || engine != null) {
       return;
     }
-    // First the store: a folder that knows of a record and has none has lost it.
+    // The store comes first: a directory with founders but without a store counts as damaged.
     try {
       store = RecordStore.open(disk);
     } catch (StoreDamagedException e) {
       throw new IOException("a new store is damaged: " + e.getMessage(), e);
     }
-    home.found(founders);
-    boolean votes = founders.contains(home.voter());
-    listener.event("founded by=" + founders + " votes=" + votes);
+    identity.writeFounders(founders);
+    boolean isVoter = founders.contains(identity.voterId());
+    listener.event("founded by=" + founders + " votes=" + isVoter);
     startEngine();
-    watch();
+    restartIfStuck();
   }
 
   /**
-   * Takes a packet; whatever it holds, this goes on.
+   * Handles a packet; a malformed one is logged and dropped.
    *
-   * @param back the way to who sent it, for answers
+   * @param reply sends a packet back to the sender
    */
-  public void receive(String from, byte[] packet, Consumer<byte[]> back) {
+  public void receive(String from, byte[] packet, Consumer<byte[]> reply) {
     if (stopped) {
       return;
     }
     try {
       Fields in = Cbor.read(packet);
       switch (in.text("kind")) {
-        case Packets.RAFT -> raft(from, in);
-        case Packets.WHO -> iam(from, in.text("home"), back);
-        case Packets.IAM -> heard(from, in);
-        case Packets.CALL -> leadership.call(from, in, calls.leader(), back);
+        case Packets.RAFT -> handleRaft(from, in);
+        case Packets.WHO -> handleWho(from, in.text("home"), reply);
+        case Packets.IAM -> handleIam(from, in);
+        case Packets.CALL -> leadership.call(from, in, calls.leader(), reply);
         case Packets.REPLY -> calls.reply(from, in);
-        case Packets.INVITE -> invited(in, back);
-        case Packets.FILLED -> leadership.filled(from, in);
-        case Packets.FOLLOW -> followed(from, in, back);
-        case Packets.ENTRIES -> follower.entries(from, in);
-        case Packets.PIECE -> follower.piece(from, in);
+        case Packets.INVITE -> handleInvite(in, reply);
+        case Packets.FILLED -> leadership.caughtUp(from, in);
+        case Packets.FOLLOW -> handleFollow(from, in, reply);
+        case Packets.ENTRIES -> subscriber.receiveEntries(from, in);
+        case Packets.PIECE -> subscriber.receivePiece(from, in);
         default -> listener.event("unknown from=" + from + " kind=" + in.text("kind"));
       }
     } catch (MalformedException e) {
       listener.event("malformed from=" + from + " why=\"" + e.getMessage() + "\"");
     } catch (IOException e) {
-      failed(e);
+      diskFailed(e);
     }
   }
 
-  private void raft(String from, Fields in) throws MalformedException {
-    // What was meant for an earlier voter of this name is not this one's.
-    if (engine != null && in.text("to").equals(home.voter().storeId())) {
+  private void handleRaft(String from, Fields in) throws MalformedException {
+    // Messages for an earlier voter id of this member are dropped.
+    if (engine != null && in.text("to").equals(identity.voterId().storeId())) {
       engine.handle(from, in.bytes("message"));
     }
   }
 
-  /** Where no engine goes on, who follows hears nothing, and finds another voter. */
-  private void followed(String from, Fields in, Consumer<byte[]> back) throws MalformedException {
+  /** Without a running engine nothing is sent, so that the subscriber switches to another voter. */
+  private void handleFollow(String from, Fields in, Consumer<byte[]> reply)
+      throws MalformedException {
     if (engine != null && !diskFailed) {
-      feed.follow(from, in, back);
+      feed.follow(from, in, reply);
     }
   }
 
-  private void iam(String to, String itsHome, Consumer<byte[]> back) throws IOException {
-    Map<String, Object> out = Packets.of(Packets.IAM);
-    out.put("home", home.name());
-    out.put("founders", home.founders().stream().map(VoterId::toString).toList());
-    back.accept(Cbor.write(out));
-    if (founding != null && settings.voters().contains(to)) {
-      // Who asks knows of no founders.
-      found(founding.heardNew(to, itsHome));
+  private void handleWho(String from, String senderStoreId, Consumer<byte[]> reply)
+      throws IOException {
+    Map<String, Object> out = Packets.ofKind(Packets.IAM);
+    out.put("home", identity.storeId());
+    out.put("founders", identity.founders().stream().map(VoterId::toString).toList());
+    reply.accept(Cbor.write(out));
+    if (bootstrap != null && settings.voters().contains(from)) {
+      // The sender knows no founders.
+      bootstrapFrom(bootstrap.learnNewVoter(from, senderStoreId));
     }
   }
 
-  private void heard(String from, Fields in) throws MalformedException, IOException {
-    if (founding == null || !settings.voters().contains(from)) {
+  private void handleIam(String from, Fields in) throws MalformedException, IOException {
+    if (bootstrap == null || !settings.voters().contains(from)) {
       return;
     }
-    List<VoterId> founders = voters(in.texts("founders"));
-    found(founders.isEmpty() ? founding.heardNew(from, in.text("home")) : founders);
+    List<VoterId> founders = parseVoters(in.texts("founders"));
+    bootstrapFrom(founders.isEmpty() ? bootstrap.learnNewVoter(from, in.text("home")) : founders);
   }
 
   /**
-   * Begins to be filled, with the engine that only voters need; asked again and again meanwhile. It
-   * votes under a name that nobody has had: MicroRaft 0.7 ends a voter that reads of its own
-   * removal, also where it was added again since, and can spin for ever doing so.
+   * Handles an invitation to become a voter, which is repeated until the member has the record:
+   * starts the engine, which only voters need. The member votes under a new voter id, as MicroRaft
+   * 0.7 terminates a voter that reads its own removal in the log, even if it was added again later,
+   * and can loop forever doing so.
    */
-  private void invited(Fields in, Consumer<byte[]> back) throws MalformedException, IOException {
-    // What was meant for an earlier folder of this name is not this one's.
-    if (!in.text("home").equals(home.name()) || diskFailed) {
+  private void handleInvite(Fields in, Consumer<byte[]> reply)
+      throws MalformedException, IOException {
+    // Invitations for an earlier store of this member are dropped.
+    if (!in.text("home").equals(identity.storeId()) || diskFailed) {
       return;
     }
     StoreIdentity.Invitation invitation = StoreIdentity.Invitation.read(in);
-    if (invitation.isNewerThan(home.invitation())) {
-      home.invite(invitation);
+    if (invitation.isNewerThan(identity.invitation())) {
+      identity.acceptInvitation(invitation);
       if (engine != null) {
         restartEngine();
       }
       if (diskFailed) {
         return;
       }
-    } else if (!invitation.equals(home.invitation())) {
+    } else if (!invitation.equals(identity.invitation())) {
       return;
     }
-    found(voters(in.texts("founders")));
-    Map<String, Object> out = Packets.of(Packets.FILLED);
-    out.put("as", invitation.home());
+    bootstrapFrom(parseVoters(in.texts("founders")));
+    Map<String, Object> out = Packets.ofKind(Packets.FILLED);
+    out.put("as", invitation.voterStoreId());
     out.put("index", engine == null ? 0 : engine.record().index());
-    back.accept(Cbor.write(out));
+    reply.accept(Cbor.write(out));
   }
 
-  private static List<VoterId> voters(List<String> texts) throws MalformedException {
+  private static List<VoterId> parseVoters(List<String> texts) throws MalformedException {
     List<VoterId> out = new ArrayList<>();
     for (String text : texts) {
       out.add(VoterId.parse(text));
@@ -339,94 +356,95 @@
     return out;
   }
 
-  private void failed(IOException why) {
+  private void diskFailed(IOException cause) {
     diskFailed = true;
     if (engine != null) {
       engine.stop();
     }
-    listener.event("disk why=\"" + why.getMessage() + "\" then=\"no vote until the next start\"");
-    leadership.ends();
+    listener.event("disk why=\"" + cause.getMessage() + "\" then=\"no vote until the next start\"");
+    leadership.stop();
   }
 
-  private void learn(LeaderCalls.Reply reply) throws MalformedException {
-    calls.voters(reply.fields().texts("voters"));
+  private void replyReceived(LeaderCalls.Reply reply) throws MalformedException {
+    calls.updateVoters(reply.fields().texts("voters"));
     if (reply.fields().has("index")) {
-      follower.told(reply.from(), reply.fields().number("index"), reply.askedAt());
+      subscriber.leaderReported(reply.from(), reply.fields().number("index"), reply.sentNanos());
     }
     listener.changed();
   }
 
-  /** Puts a command on the record, once, however often it is asked again for it. */
+  /** Submits a command; it is applied at most once, however often it is sent. */
   public CompletableFuture<CommandResult> submit(Command command) {
-    return session.submit(command, PATIENCE_TERMS * settings.leaseNanos());
+    return session.submit(command, COMMAND_TIMEOUT_LEASES * settings.leaseNanos());
   }
 
-  /** The same for somebody who numbers commands, and may ask several members for the same. */
-  public CompletableFuture<CommandResult> submit(Command.Numbered command, long forNanos) {
-    return session.submit(command, forNanos);
+  /** Submits a numbered command, which its origin may also submit at other members. */
+  public CompletableFuture<CommandResult> submit(Command.Numbered command, long timeoutNanos) {
+    return session.submit(command, timeoutNanos);
   }
 
-  /** What the record says, no older than this call. */
-  public CompletableFuture<FleetRecord> read(long forNanos) {
+  /** Reads the record from the leader, as of this call or later. */
+  public CompletableFuture<FleetRecord> read(long timeoutNanos) {
     return session
-        .call("read", forNanos)
+        .call("read", timeoutNanos)
         .thenApply(
             reply -> {
               try {
-                learn(reply);
+                replyReceived(reply);
                 return FleetRecord.read(reply.fields().bytes("state"));
               } catch (MalformedException e) {
-                throw new IllegalStateException("unreadable state: " + e.getMessage(), e);
+                throw new IllegalStateException("malformed state: " + e.getMessage(), e);
               }
             });
   }
 
-  /** Makes a member a voter, or ends its vote. */
-  public CompletableFuture<CommandResult> changeVoter(boolean add, String member, long forNanos) {
-    return session.changeVoter(add, member, forNanos);
+  /** Makes a member a voter, or removes it from the voters. */
+  public CompletableFuture<CommandResult> changeVoter(
+      boolean add, String member, long timeoutNanos) {
+    return session.changeVoter(add, member, timeoutNanos);
   }
 
-  /** Whether it has joined and read the record as of then or later, in this life. */
+  /** Whether this session epoch has joined and the local record includes the join. */
   public boolean hasJoined() {
-    return session.incarnation() > 0 && follower.record().index() >= session.joinedAt();
+    return session.incarnation() > 0 && subscriber.record().index() >= session.joinedIndex();
   }
 
-  /** Whether its session holds by its own clock; if not it is alone. */
+  /** Whether the lease is valid by the local clock; if not, the member counts as partitioned. */
   public boolean hasValidLease() {
     return session.hasValidLease();
   }
 
-  /** Its incarnation; 0 while it has none. */
+  /** Returns the incarnation of the session; 0 if there is none. */
   public long incarnation() {
     return session.incarnation();
   }
 
-  /** Whether this member leads, as far as it knows. */
+  /** Whether this member is the leader, as far as it knows. */
   public boolean isLeader() {
     return engine != null && engine.isLeader();
   }
 
-  /** The engine's record where there is one, else null; for those who judge it from outside. */
+  /** Returns the record that the engine has applied, or null without an engine; for tests. */
   FleetRecord appliedRecord() {
     return engine == null ? null : engine.record();
   }
 
-  /** What is known here. */
+  /** Returns this member's view of the fleet. */
   public FleetView view() {
     String leader = isLeader() ? settings.self() : calls.leader();
     return new FleetView(
-        follower.record(),
-        follower.currentAsOfNanos(),
+        subscriber.record(),
+        subscriber.currentAsOfNanos(),
         leader == null ? "" : leader,
         calls.voters());
   }
 
-  /** Says that it goes for good, and stops once that is on the record or the time is over. */
-  public CompletableFuture<Void> leave(long forNanos) {
-    return session.leave(forNanos).handle((done, failure) -> null).thenRun(this::stop);
+  /** Leaves the fleet; stops once the record says so or the timeout is over. */
+  public CompletableFuture<Void> leave(long timeoutNanos) {
+    return session.leave(timeoutNanos).handle((done, failure) -> null).thenRun(this::stop);
   }
 
-  /** Ends at once, as if its process had. */
+  /** Stops at once, without leaving the fleet. */
   public void stop() {
     if (stopped) {
       return;
@@ -434,12 +452,12 @@
     stopped = true;
     calls.stop();
     session.stop();
-    follower.stop();
-    leadership.ends();
+    subscriber.stop();
+    leadership.stop();
     if (engine != null) {
       engine.stop();
     }
-    // After the engine, which ends in a turn of its own.
+    // The store is closed after the engine, which stops in an event-loop iteration of its own.
     scheduler.execute(this::closeStore);
   }
 
@@ -453,10 +471,10 @@
     }
   }
 
-  private final class FollowerOwner implements FeedSubscriber.Owner {
+  private final class SubscriberOwner implements FeedSubscriber.Owner {
     @Override
     public void send(String voter, byte[] packet) {
-      wire.send(voter, packet);
+      transport.send(voter, packet);
     }
 
     @Override
@@ -473,7 +491,7 @@
   private final class EngineOwner implements Engine.Owner {
     @Override
     public void send(VoterId to, byte[] message) {
-      wire.send(to.member(), Packets.raft(to.storeId(), message));
+      transport.send(to.member(), Packets.raft(to.storeId(), message));
     }
 
     @Override
@@ -491,23 +509,23 @@
     @Override
     public void leadershipChanged(boolean isLeader, int term) {
       listener.event((isLeader ? "leads" : "follows") + " term=" + term);
-      leadership.leads(isLeader);
+      leadership.leadershipChanged(isLeader);
       if (isLeader) {
-        calls.leads(settings.self());
+        calls.setLeader(settings.self());
       }
     }
 
     @Override
     public void restartRequired(String reason) {
       listener.event("restarts engine why=\"" + reason + "\"");
-      leadership.leads(false);
-      // Not at once, as what has happened may happen again.
+      leadership.leadershipChanged(false);
+      // The restart is delayed, as the cause may occur again.
       scheduler.schedule(settings.heartbeatNanos(), Member.this::restartEngine);
     }
 
     @Override
     public void storeFailed(IOException cause) {
-      Member.this.failed(cause);
+      Member.this.diskFailed(cause);
     }
   }
 }
--- a/src/main/java/hazelspoke/agreement/member/SessionLeases.java
+++ b/src/main/java/hazelspoke/agreement/member/SessionLeases.java
@@ -9,82 +9,89 @@
 import java.util.Map;
 
 /**
- * A leader's count of the others' terms. Each begins anew with its leadership and with each
- * renewal, and is longer than the holder's own count by what both clocks may be off. What the
- * leader itself was late counts against nobody.
+ * The leases of all sessions, as the leader tracks them. A lease starts again when the leadership
+ * starts and with each renewal. The leader's lease is longer, and the holder's shorter, by the
+ * maximum clock error, so that it expires at the holder first. Time in which the leader itself was
+ * stalled does not count.
  */
 class SessionLeases {
-  private record Count(long incarnation, long since, long endsAt, boolean lapsing) {}
+  private record Lease(long incarnation, long sinceIndex, long expiryNanos, boolean isLapsing) {}
 
-  private final long length;
-  private final long tick;
-  private final Map<String, Count> counts = new HashMap<>();
-  private long tickedAt;
+  private final long durationNanos;
+  private final long tickNanos;
+  private final Map<String, Lease> leases = new HashMap<>();
+  private long lastTickNanos;
 
   /**
-   * @param tickNanos how often {@link #tick} is called
+   * @param drift the maximum relative clock error
+   * @param tickNanos the interval between calls of {@link #tick}
    */
   SessionLeases(long leaseNanos, double drift, long tickNanos) {
-    length = (long) (leaseNanos * (1 + drift));
-    tick = tickNanos;
+    durationNanos = (long) (leaseNanos * (1 + drift));
+    this.tickNanos = tickNanos;
   }
 
-  /** The leadership begins; every term does as well, at the next tick. */
-  void begin(long now) {
-    counts.clear();
-    tickedAt = now;
+  /** Starts a leadership; every lease starts again at the next tick. */
+  void start(long nowNanos) {
+    leases.clear();
+    lastTickNanos = nowNanos;
   }
 
-  /** A renewal counts, as the record shows it and a majority has confirmed. */
-  void renewed(Session session, long now) {
-    counts.put(session.member(), count(session, now));
+  /** Renews a lease, after a majority has confirmed the leadership. */
+  void renew(Session session, long nowNanos) {
+    leases.put(session.member(), newLease(session, nowNanos));
   }
 
-  private Count count(Session session, long now) {
-    return new Count(session.incarnation(), session.sinceIndex(), now + length, false);
+  private Lease newLease(Session session, long nowNanos) {
+    return new Lease(session.incarnation(), session.sinceIndex(), nowNanos + durationNanos, false);
   }
 
   /**
-   * Whether its lapse was given out, so that nothing may be said to the holder until it is known.
+   * Whether the lapse of this session was proposed. The holder must not be told that its lease is
+   * valid until the outcome is known.
    */
   boolean isLapsing(Session session) {
-    Count count = counts.get(session.member());
-    return count != null
-        && count.incarnation == session.incarnation()
-        && count.since == session.sinceIndex()
-        && count.lapsing;
+    Lease lease = leases.get(session.member());
+    return lease != null
+        && lease.incarnation == session.incarnation()
+        && lease.sinceIndex == session.sinceIndex()
+        && lease.isLapsing;
   }
 
-  /** The lapse could not be given out; it is tried again. */
-  void notLapsed(Session session) {
+  /** The lapse could not be proposed; the next tick tries again. */
+  void lapseFailed(Session session) {
     if (isLapsing(session)) {
-      Count count = counts.get(session.member());
-      counts.put(session.member(), new Count(count.incarnation, count.since, count.endsAt, false));
+      Lease lease = leases.get(session.member());
+      leases.put(
+          session.member(),
+          new Lease(lease.incarnation, lease.sinceIndex, lease.expiryNanos, false));
     }
   }
 
-  /** Those whose terms have ended; each is named once. */
-  List<Session> tick(long now, Collection<Session> sessions) {
-    long late = Math.max(0, now - tickedAt - 2 * tick);
-    tickedAt = now;
-    List<Session> over = new ArrayList<>();
+  /** Returns the sessions whose leases have expired; each is returned once. */
+  List<Session> tick(long nowNanos, Collection<Session> sessions) {
+    long stalledNanos = Math.max(0, nowNanos - lastTickNanos - 2 * tickNanos);
+    lastTickNanos = nowNanos;
+    List<Session> expired = new ArrayList<>();
     for (Session session : sessions) {
-      Count count = counts.get(session.member());
+      Lease lease = leases.get(session.member());
       if (session.status() != Status.THERE) {
-        counts.remove(session.member());
-      } else if (count == null
-          || count.incarnation != session.incarnation()
-          || count.since != session.sinceIndex()) {
-        counts.put(session.member(), count(session, now));
-      } else if (!count.lapsing) {
-        long endsAt = count.endsAt + late;
-        boolean ended = now - endsAt >= 0;
-        counts.put(session.member(), new Count(count.incarnation, count.since, endsAt, ended));
-        if (ended) {
-          over.add(session);
+        leases.remove(session.member());
+      } else if (lease == null
+          || lease.incarnation != session.incarnation()
+          || lease.sinceIndex != session.sinceIndex()) {
+        leases.put(session.member(), newLease(session, nowNanos));
+      } else if (!lease.isLapsing) {
+        long expiryNanos = lease.expiryNanos + stalledNanos;
+        boolean isExpired = nowNanos - expiryNanos >= 0;
+        leases.put(
+            session.member(),
+            new Lease(lease.incarnation, lease.sinceIndex, expiryNanos, isExpired));
+        if (isExpired) {
+          expired.add(session);
         }
       }
     }
-    return over;
+    return expired;
   }
 }
--- a/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
+++ b/src/main/java/hazelspoke/agreement/member/StoreIdentity.java
@@ -18,30 +18,33 @@
 import java.util.zip.CRC32C;
 
 /**
- * A data folder's own name, which it gets when it is new and which no other folder has. Votes and
- * sessions name it, so that a folder that was lost is never taken for the one that is there.
+ * The unique store id of a data directory, which is generated when the directory is new, with what
+ * has to persist beside it. Votes and sessions name the id, so that a new directory is never taken
+ * for one that was lost.
  */
 final class StoreIdentity {
   private static final String FILE = "member";
-  private static final String ASIDE = "aside-member";
-  private static final String DAMAGED = "damaged-";
+  private static final String TEMP_FILE = "aside-member";
+  private static final String DAMAGED_PREFIX = "damaged-";
 
   private final Disk disk;
   private final String fleet;
   private final String member;
-  private final String name;
+  private final String storeId;
   private List<VoterId> founders;
-  private long lives;
+  private long processEpoch;
   private Invitation invitation = Invitation.NONE;
 
   /**
-   * As whom this folder votes, and since which entry that its fleet has agreed on.
+   * The identity under which this store votes after it was made a voter, and the committed entry
+   * that says so.
    *
-   * @param home what stands in the place of the folder's name; empty before the first
-   * @param term of the leader who said so
-   * @param index of the entry
+   * @param voterStoreId replaces the store id in the voter's name; empty before the first
+   *     invitation
+   * @param term the term of the leader that sent the invitation
+   * @param index the index of the entry
    */
-  record Invitation(String home, long term, long index) {
+  record Invitation(String voterStoreId, long term, long index) {
     static final Invitation NONE = new Invitation("", 0, 0);
 
     static Invitation read(Fields in) throws MalformedException {
@@ -49,7 +52,7 @@
     }
 
     void write(Map<String, Object> out) {
-      out.put("as", home);
+      out.put("as", voterStoreId);
       out.put("term", term);
       out.put("index", index);
     }
@@ -60,66 +63,71 @@
   }
 
   private StoreIdentity(
-      Disk disk, String fleet, String member, String name, List<VoterId> founders, long lives) {
-    this.lives = lives;
+      Disk disk,
+      String fleet,
+      String member,
+      String storeId,
+      List<VoterId> founders,
+      long processEpoch) {
+    this.processEpoch = processEpoch;
     this.disk = disk;
     this.fleet = fleet;
     this.member = member;
-    this.name = name;
+    this.storeId = storeId;
     this.founders = List.copyOf(founders);
   }
 
   /**
-   * Reads the name of a folder, or gives it one, and counts the process that does so.
+   * Reads the identity of a data directory, or creates one, and increments the process epoch.
    *
-   * @throws WrongFolderException if it is another member's, or another fleet's
-   * @throws MalformedException if it is not readable, or gone while other files are there
+   * @throws WrongDataDirectoryException if the directory belongs to another member or fleet
+   * @throws MalformedException if the identity is unreadable, or missing while other files exist
    */
   static StoreIdentity open(Disk disk, String fleet, String member, Random random)
       throws IOException, WrongDataDirectoryException, MalformedException {
     Set<String> files = disk.list();
-    if (files.contains(ASIDE)) {
-      disk.delete(ASIDE);
+    if (files.contains(TEMP_FILE)) {
+      disk.delete(TEMP_FILE);
     }
     if (files.contains(FILE)) {
-      StoreIdentity home = read(disk, disk.read(FILE), fleet, member);
-      home.lives++;
-      home.write();
-      return home;
+      StoreIdentity identity = read(disk, disk.read(FILE), fleet, member);
+      identity.processEpoch++;
+      identity.write();
+      return identity;
     }
-    if (files.stream().anyMatch(f -> !f.equals(ASIDE) && !f.startsWith(DAMAGED))) {
-      throw new MalformedException("the file " + FILE + " is gone");
+    if (files.stream().anyMatch(f -> !f.equals(TEMP_FILE) && !f.startsWith(DAMAGED_PREFIX))) {
+      throw new MalformedException("the file " + FILE + " is missing");
     }
-    StoreIdentity made = new StoreIdentity(disk, fleet, member, draw(random), List.of(), 1);
-    made.write();
-    return made;
+    StoreIdentity created = new StoreIdentity(disk, fleet, member, randomId(random), List.of(), 1);
+    created.write();
+    return created;
   }
 
-  /** Puts aside whatever is there, in place of what was put aside before, and begins anew. */
-  static StoreIdentity renew(Disk disk, String fleet, String member, Random random)
+  /** Renames all files as damaged, deletes those renamed earlier, and creates a new identity. */
+  static StoreIdentity replace(Disk disk, String fleet, String member, Random random)
       throws IOException {
     for (String file : disk.list()) {
-      if (file.startsWith(DAMAGED)) {
+      if (file.startsWith(DAMAGED_PREFIX)) {
         disk.delete(file);
       }
     }
-    // The name goes first: without it nothing of the rest is read again.
+    // The identity is renamed first: without it, no other file is ever read again.
     if (disk.list().contains(FILE)) {
-      disk.rename(FILE, DAMAGED + FILE);
+      disk.rename(FILE, DAMAGED_PREFIX + FILE);
       disk.syncDirectory();
     }
     for (String file : disk.list()) {
-      if (!file.startsWith(DAMAGED)) {
-        disk.rename(file, DAMAGED + file);
+      if (!file.startsWith(DAMAGED_PREFIX)) {
+        disk.rename(file, DAMAGED_PREFIX + file);
       }
     }
     disk.syncDirectory();
-    StoreIdentity made = new StoreIdentity(disk, fleet, member, draw(random), List.of(), 1);
-    made.write();
-    return made;
+    StoreIdentity created = new StoreIdentity(disk, fleet, member, randomId(random), List.of(), 1);
+    created.write();
+    return created;
   }
 
-  private static String draw(Random random) {
+  private static String randomId(Random random) {
     return String.format(Locale.ROOT, "%016x", random.nextLong());
   }
 
@@ -127,25 +135,28 @@
       throws WrongDataDirectoryException, MalformedException {
     int length = bytes.length - Integer.BYTES;
     if (length < 0
-        || ByteBuffer.wrap(bytes, length, Integer.BYTES).getInt() != sum(bytes, length)) {
-      throw new MalformedException("the file " + FILE + " is not what was written");
+        || ByteBuffer.wrap(bytes, length, Integer.BYTES).getInt() != checksum(bytes, length)) {
+      throw new MalformedException("the file " + FILE + " has a wrong checksum");
     }
     Fields in = Cbor.read(Arrays.copyOf(bytes, length));
     if (!in.text("fleet").equals(fleet) || !in.text("member").equals(member)) {
       throw new WrongDataDirectoryException(
-          "the data folder belongs to " + in.text("member") + " of " + in.text("fleet"));
+          "the data directory belongs to member "
+              + in.text("member")
+              + " of fleet "
+              + in.text("fleet"));
     }
     List<VoterId> founders = new ArrayList<>();
     for (String founder : in.texts("founders")) {
       founders.add(VoterId.parse(founder));
     }
-    StoreIdentity home =
+    StoreIdentity identity =
         new StoreIdentity(disk, fleet, member, in.text("home"), founders, in.number("lives"));
-    home.invitation = in.has("as") ? Invitation.read(in) : Invitation.NONE;
-    return home;
+    identity.invitation = in.has("as") ? Invitation.read(in) : Invitation.NONE;
+    return identity;
   }
 
-  private static int sum(byte[] bytes, int length) {
+  private static int checksum(byte[] bytes, int length) {
     CRC32C crc = new CRC32C();
     crc.update(bytes, 0, length);
     return (int) crc.getValue();
@@ -155,55 +166,56 @@
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("fleet", fleet);
     out.put("member", member);
-    out.put("home", name);
-    out.put("lives", lives);
+    out.put("home", storeId);
+    out.put("lives", processEpoch);
     out.put("founders", founders.stream().map(VoterId::toString).toList());
     invitation.write(out);
     byte[] body = Cbor.write(out);
-    try (Disk.Output file = disk.create(ASIDE)) {
+    try (Disk.Output file = disk.create(TEMP_FILE)) {
       file.write(
           ByteBuffer.allocate(body.length + Integer.BYTES)
               .put(body)
-              .putInt(sum(body, body.length))
+              .putInt(checksum(body, body.length))
               .array());
       file.sync();
     }
-    disk.rename(ASIDE, FILE);
+    disk.rename(TEMP_FILE, FILE);
     disk.syncDirectory();
   }
 
-  String name() {
-    return name;
+  String storeId() {
+    return storeId;
   }
 
-  /** Whose name its votes bear. */
-  VoterId voter() {
-    return new VoterId(member, invitation.home().isEmpty() ? name : invitation.home());
+  /** Returns the identity under which this store votes. */
+  VoterId voterId() {
+    return new VoterId(
+        member, invitation.voterStoreId().isEmpty() ? storeId : invitation.voterStoreId());
   }
 
   Invitation invitation() {
     return invitation;
   }
 
-  /** Votes as somebody new from now on; lasting when this returns. */
-  void invite(Invitation by) throws IOException {
-    invitation = by;
+  /** Stores an invitation, which gives the store a new voter identity; durable on return. */
+  void acceptInvitation(Invitation accepted) throws IOException {
+    invitation = accepted;
     write();
   }
 
-  /** How many processes have used this folder, this one among them. */
-  long lives() {
-    return lives;
+  /** Returns how many processes have used this data directory, including this one. */
+  long processEpoch() {
+    return processEpoch;
   }
 
-  /** The voters at the beginning of the record; empty as long as this folder knows of none. */
+  /** Returns the initial voters of the record; empty while this store has no record. */
   List<VoterId> founders() {
     return founders;
   }
 
-  /** Keeps them; lasting when this returns. */
-  void found(List<VoterId> by) throws IOException {
-    founders = List.copyOf(by);
+  /** Stores the initial voters; durable on return. */
+  void writeFounders(List<VoterId> accepted) throws IOException {
+    founders = List.copyOf(accepted);
     write();
   }
 }
--- a/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
+++ b/src/test/java/hazelspoke/agreement/feed/FeedSimulationTest.java
@@ -16,27 +16,28 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Feeds and those that follow them under drawn faults. {@code -Dfeed.seeds=100000} plays more of
- * them, {@code -Dfeed.members=540} larger ones, {@code -Dfeed.first} others.
+ * Runs the feed simulation with random faults. {@code -Dfeed.seeds=100000} runs more seeds, {@code
+ * -Dfeed.members=540} larger fleets, {@code -Dfeed.first} starts at another seed; {@code
+ * -Dfeed.mutants=true} prints how many seeds find each mutant.
  */
 class FeedSimulationTest {
-  /** Feeds that lack one guard each. */
+  /** Feeds that each lack one safeguard. */
   enum Mutants {
-    TAKES_ENTRIES_ACROSS_A_GAP {
+    APPLIES_ENTRIES_ACROSS_A_GAP {
       @Override
       Mutant make() {
         return new Mutant() {
           @Override
-          FeedSubscriber follower(
+          FeedSubscriber subscriber(
               String self,
               Scheduler scheduler,
               Random random,
-              FeedSettings pace,
-              Supplier<List<String>> v,
-              FeedSubscriber.Owner o) {
-            return new FeedSubscriber(self, scheduler, random, pace, v, o) {
+              FeedSettings settings,
+              Supplier<List<String>> voters,
+              FeedSubscriber.Owner owner) {
+            return new FeedSubscriber(self, scheduler, random, settings, voters, owner) {
               @Override
-              protected boolean follows(long previous) {
+              protected boolean hasAllUpTo(long previous) {
                 return true;
               }
             };
@@ -44,21 +45,21 @@
         };
       }
     },
-    STAYS_HOWEVER_FAR_BEHIND {
+    NEVER_LEAVES_A_LAGGING_VOTER {
       @Override
       Mutant make() {
         return new Mutant() {
           @Override
-          FeedSubscriber follower(
+          FeedSubscriber subscriber(
               String self,
               Scheduler scheduler,
               Random random,
-              FeedSettings pace,
-              Supplier<List<String>> v,
-              FeedSubscriber.Owner o) {
-            return new FeedSubscriber(self, scheduler, random, pace, v, o) {
+              FeedSettings settings,
+              Supplier<List<String>> voters,
+              FeedSubscriber.Owner owner) {
+            return new FeedSubscriber(self, scheduler, random, settings, voters, owner) {
               @Override
-              protected boolean isBehind(long forNanos) {
+              protected boolean isBehind(long overdueNanos) {
                 return false;
               }
             };
@@ -66,28 +67,28 @@
         };
       }
     },
-    PUSHES_WHAT_IS_NOT_AGREED_ON {
+    SENDS_UNCOMMITTED_ENTRIES {
       @Override
       Mutant make() {
         Mutant mutant = new Mutant();
-        mutant.pushesWhatIsNotAgreedOn = true;
+        mutant.sendsUncommittedEntries = true;
         return mutant;
       }
     },
-    CHANGES_WHAT_IT_HAS_SENT {
+    MODIFIES_SENT_PACKETS {
       @Override
       Mutant make() {
         return new Mutant() {
           @Override
-          Feed feed(Scheduler scheduler, FeedSettings pace, Supplier<FleetRecord> record) {
-            return new Feed(scheduler, pace, record) {
-              private byte[] before = {};
+          Feed feed(Scheduler scheduler, FeedSettings settings, Supplier<FleetRecord> record) {
+            return new Feed(scheduler, settings, record) {
+              private byte[] previous = {};
 
               @Override
               protected byte[] encoded(byte[] packet) {
-                // As with one buffer for all: the next packet is written over the one before.
-                System.arraycopy(packet, 0, before, 0, Math.min(packet.length, before.length));
-                before = packet;
+                // As if all packets shared one buffer: each overwrites the previous one.
+                System.arraycopy(packet, 0, previous, 0, Math.min(packet.length, previous.length));
+                previous = packet;
                 return packet;
               }
             };
@@ -95,15 +96,15 @@
         };
       }
     },
-    CATCHES_UP_WITHOUT_A_BOUND {
+    IGNORES_THE_SNAPSHOT_RATE {
       @Override
       Mutant make() {
         return new Mutant() {
           @Override
-          Feed feed(Scheduler scheduler, FeedSettings pace, Supplier<FleetRecord> record) {
-            return new Feed(scheduler, pace, record) {
+          Feed feed(Scheduler scheduler, FeedSettings settings, Supplier<FleetRecord> record) {
+            return new Feed(scheduler, settings, record) {
               @Override
-              protected boolean mayPay(double left) {
+              protected boolean maySend(double budgetBytes) {
                 return true;
               }
             };
@@ -116,7 +117,7 @@
   }
 
   @Test
-  void whatMustHoldHoldsUnderDrawnFaults() {
+  void keepsInvariantsUnderRandomFaults() {
     long seeds = Long.getLong("feed.seeds", 2_000);
     long first = Long.getLong("feed.first", 0);
     int members = Integer.getInteger("feed.members", 5);
@@ -126,16 +127,17 @@
             .mapToObj(seed -> FeedSimulation.run(seed, members, new Mutant()))
             .toList();
     for (int i = 0; i < outcomes.size(); i++) {
-      assertThat(outcomes.get(i).wrong()).as("seed %d", first + i).isNull();
+      assertThat(outcomes.get(i).violation()).as("seed %d", first + i).isNull();
     }
-    // A play with no snapshot and nobody that leaves a voter shows little.
+    // Without snapshots and switches to another voter the runs would cover little.
     assertThat(outcomes.stream().mapToLong(Outcome::entries).sum()).isGreaterThan(40 * seeds);
-    assertThat(outcomes.stream().mapToLong(Outcome::pieces).sum()).isGreaterThan(20 * seeds);
-    assertThat(outcomes.stream().mapToLong(Outcome::moves).sum()).isGreaterThan(seeds);
+    assertThat(outcomes.stream().mapToLong(Outcome::snapshotPieces).sum())
+        .isGreaterThan(20 * seeds);
+    assertThat(outcomes.stream().mapToLong(Outcome::switches).sum()).isGreaterThan(seeds);
   }
 
   @Test
-  void aSeedGivesTheSameTwice() {
+  void givesTheSameOutcomeForTheSameSeed() {
     for (long seed = 0; seed < 10; seed++) {
       Outcome once = FeedSimulation.run(seed, 5, new Mutant());
       assertThat(FeedSimulation.run(seed, 5, new Mutant())).isEqualTo(once);
@@ -144,21 +146,21 @@
 
   @ParameterizedTest
   @ValueSource(ints = {100, 540})
-  void largeFleetsKnowAllInTheEnd(int members) {
-    assertThat(FeedSimulation.run(1, members, new Mutant()).wrong()).isNull();
+  void allMembersOfLargeFleetsCatchUp(int members) {
+    assertThat(FeedSimulation.run(1, members, new Mutant()).violation()).isNull();
   }
 
   @ParameterizedTest
   @EnumSource(Mutants.class)
-  void aFeedThatLacksAGuardIsFoundWithin200Seeds(Mutants mutant) {
-    long[] found =
+  void findsEachMutantWithin200Seeds(Mutants mutant) {
+    long[] foundBy =
         LongStream.range(0, 200)
             .parallel()
-            .filter(seed -> FeedSimulation.run(seed, 5, mutant.make()).wrong() != null)
+            .filter(seed -> FeedSimulation.run(seed, 5, mutant.make()).violation() != null)
             .toArray();
     if (Boolean.getBoolean("feed.mutants")) {
-      System.out.println(mutant + ": " + found.length + " of 200");
+      System.out.println(mutant + ": " + foundBy.length + " of 200");
     }
-    assertThat(found).isNotEmpty();
+    assertThat(foundBy).isNotEmpty();
   }
 }
