--- a/src/main/java/hazelspoke/emulator/model/Registry.java
+++ b/src/main/java/hazelspoke/emulator/model/Registry.java
@@ -17,14 +17,14 @@
     TERMINATING("Terminating"),
     GONE("Gone");
 
-    private final String word;
+    private final String wireName;
 
-    Status(String word) {
-      this.word = word;
+    Status(String wireName) {
+      this.wireName = wireName;
     }
 
-    public String word() {
-      return word;
+    public String wireName() {
+      return wireName;
     }
   }
 
--- a/src/main/java/hazelspoke/emulator/net/Discovery.java
+++ b/src/main/java/hazelspoke/emulator/net/Discovery.java
@@ -173,7 +173,7 @@
   }
 
   private String json(int gateway, boolean isSnapshot, List<Entry> entries) {
-    List<Entry> seen = links == null ? entries : links.seenBy(gateway, entries);
+    List<Entry> seen = links == null ? entries : links.entriesFor(gateway, entries);
     return json(registry.index(), isSnapshot, seen);
   }
 
@@ -190,7 +190,7 @@
       out.append("\",\"zone\":\"").append(e.zone());
       out.append("\",\"type\":\"").append(e.kind());
       out.append("\",\"group\":").append(e.group());
-      out.append(",\"status\":\"").append(e.status().word());
+      out.append(",\"status\":\"").append(e.status().wireName());
       out.append("\",\"weight\":1.0,\"since_ms\":").append(e.sinceMs()).append('}');
     }
     return out.append("]}").toString();
--- a/src/main/java/hazelspoke/emulator/net/Host.java
+++ b/src/main/java/hazelspoke/emulator/net/Host.java
@@ -325,8 +325,8 @@
   }
 
   /**
-   * Ends one suspension; after the last one, everything received or finished
-   * meanwhile is processed at once.
+   * Ends one suspension; after the last one, everything received or finished meanwhile is processed
+   * at once.
    */
   private void resumeOnce() {
     if (!up || suspendCount == 0 || --suspendCount > 0) {
@@ -391,12 +391,15 @@
   }
 
   private void failFromOverload(double now) {
-    sink.fell(name, now, overloadDetector.informedShare());
+    sink.failedFromOverload(name, now, overloadDetector.informedShare());
     crash();
     failedFromOverload = true;
   }
 
-  /** Schedules short pauses such as those of a garbage collector; the gap before the n-th is determined by n, not by timing. */
+  /**
+   * Schedules short pauses such as those of a garbage collector; the gap before the n-th is
+   * determined by n, not by timing.
+   */
   private void schedulePauses(StockServer instance, int n) {
     if (spec.pauseMs() < 1) {
       return;
@@ -703,7 +706,7 @@
             return;
           }
           attempt.end(AttemptEnd.SERVED, now);
-          response = Wire.response(HttpResponseStatus.OK, Wire.answerBody(txn, name));
+          response = Wire.response(HttpResponseStatus.OK, Wire.responseBody(txn, name));
         }
         case ERROR -> {
           attempt.end(AttemptEnd.ERROR, now);
@@ -733,7 +736,7 @@
     /** Sends half of a response and then a reset. */
     private void sendTruncatedResponse(double now) {
       attempt.end(AttemptEnd.RESET, now);
-      String body = Wire.answerBody(txn, name);
+      String body = Wire.responseBody(txn, name);
       ByteBuf half =
           Unpooled.copiedBuffer(
               "HTTP/1.1 200 OK\r\nContent-Length: "
--- a/src/main/java/hazelspoke/emulator/net/HostSink.java
+++ b/src/main/java/hazelspoke/emulator/net/HostSink.java
@@ -16,5 +16,5 @@
   /** Whether the gateway that sent this request was informed of the host's start. */
   boolean isStartKnownToGateway(String txn, String host);
 
-  void fell(String host, double at, double informedShare);
+  void failedFromOverload(String host, double at, double informedShare);
 }
--- a/src/main/java/hazelspoke/emulator/net/LedgerSink.java
+++ b/src/main/java/hazelspoke/emulator/net/LedgerSink.java
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public void fell(String host, double at, double informedShare) {
+  public void failedFromOverload(String host, double at, double informedShare) {
     ledger.fell(host, at, informedShare);
   }
 }
--- a/src/main/java/hazelspoke/emulator/net/Link.java
+++ b/src/main/java/hazelspoke/emulator/net/Link.java
@@ -107,7 +107,7 @@
    *
    * @return resets the caller's ends when run
    */
-  public Runnable halfOpen() {
+  public Runnable resetHostEnds() {
     List<RelayedConnection> now = List.copyOf(connections);
     now.forEach(RelayedConnection::resetHostSide);
     return () -> now.forEach(RelayedConnection::reset);
--- a/src/main/java/hazelspoke/emulator/net/Links.java
+++ b/src/main/java/hazelspoke/emulator/net/Links.java
@@ -32,7 +32,7 @@
   }
 
   /** Opens a relay between each gateway and this host, which has not been started yet. */
-  public void join(Host host) throws IOException {
+  public void connectHost(Host host) throws IOException {
     List<Link> links = new ArrayList<>();
     // One map per host: the operating system may use one port for connections to several hosts.
     Map<SocketAddress, Link.RelayedConnection> connections = new HashMap<>();
@@ -68,7 +68,7 @@
    *
    * @param addresses the address on which each gateway listens for the others
    */
-  public void joinGateways(List<InetSocketAddress> addresses) throws IOException {
+  public void connectGateways(List<InetSocketAddress> addresses) throws IOException {
     for (int from = 0; from < gateways; from++) {
       for (int to = 0; to < gateways; to++) {
         if (from != to) {
@@ -93,11 +93,11 @@
   }
 
   /** The list as a gateway receives it, with the addresses of its own relays. */
-  public List<Entry> seenBy(int gateway, List<Entry> entries) {
-    return entries.stream().map(e -> seenBy(gateway, e)).toList();
+  public List<Entry> entriesFor(int gateway, List<Entry> entries) {
+    return entries.stream().map(e -> entriesFor(gateway, e)).toList();
   }
 
-  private Entry seenBy(int gateway, Entry e) {
+  private Entry entriesFor(int gateway, Entry e) {
     List<Link> links = byHost.get(e.address());
     return links == null ? e : e.reachedAt(Ports.text(links.get(gateway).address()));
   }
--- a/src/main/java/hazelspoke/emulator/net/Wire.java
+++ b/src/main/java/hazelspoke/emulator/net/Wire.java
@@ -49,7 +49,7 @@
   }
 
   /** The only valid response body of a host for a request. */
-  public static String answerBody(String txn, String host) {
+  public static String responseBody(String txn, String host) {
     String text = "served " + txn + " at " + host + ";";
     return text + "=".repeat(Math.max(0, RESPONSE_BODY_CHARS - text.length()));
   }
@@ -62,7 +62,7 @@
       return null;
     }
     String host = body.substring(start.length(), end);
-    return answerBody(txn, host).equals(body) ? host : null;
+    return responseBody(txn, host).equals(body) ? host : null;
   }
 
   static FullHttpResponse response(HttpResponseStatus status, String body) {
--- a/src/main/java/hazelspoke/emulator/run/Fleet.java
+++ b/src/main/java/hazelspoke/emulator/run/Fleet.java
@@ -74,7 +74,7 @@
 
   private static Host joined(Links links, Host host) throws IOException {
     if (links != null) {
-      links.join(host);
+      links.connectHost(host);
     }
     return host;
   }
--- a/src/main/java/hazelspoke/emulator/run/Gateways.java
+++ b/src/main/java/hazelspoke/emulator/run/Gateways.java
@@ -142,7 +142,7 @@
       gate.record = Ports.free(RECORD_NET, gate.seat.gateway());
       addresses.add(gate.record);
     }
-    links.joinGateways(addresses);
+    links.connectGateways(addresses);
     for (Gate gate : gates) {
       int g = gate.seat.gateway();
       Path file = folder.resolve("g" + (g + 1) + ".toml");
@@ -196,7 +196,7 @@
             gate.discovery,
             SeededRandom.mix(world.seed() + 1_000L * i + gate.starts),
             registry.index(),
-            links == null ? registry.all() : links.seenBy(i, registry.all()));
+            links == null ? registry.all() : links.entriesFor(i, registry.all()));
     try {
       Path fresh = Files.createTempFile(folder, "config", ".json");
       Files.writeString(fresh, text);
--- a/src/main/java/hazelspoke/emulator/run/LinkFaults.java
+++ b/src/main/java/hazelspoke/emulator/run/LinkFaults.java
@@ -31,7 +31,7 @@
     On on = new On(fault, name);
     switch (fault.kind()) {
       case LINK_RESET -> link.reset();
-      case LINK_HALF_OPEN -> ends.put(on, link.halfOpen());
+      case LINK_HALF_OPEN -> ends.put(on, link.resetHostEnds());
       case LINK_LOSSY -> again(fault, link, until, () -> Impairment.silence(true, true), false);
       case LINK_FLAPPING -> again(fault, link, until, Impairment::cut, true);
       case LINK_CUT -> {
--- a/src/main/java/hazelspoke/emulator/run/StockServerProcess.java
+++ b/src/main/java/hazelspoke/emulator/run/StockServerProcess.java
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void fell(String host, double at, double toldShare) {
+    public void failedFromOverload(String host, double at, double toldShare) {
       out.printf(Locale.ROOT, "fell - %.3f%n", at);
     }
   }
--- a/src/test/java/hazelspoke/emulator/net/HostTest.java
+++ b/src/test/java/hazelspoke/emulator/net/HostTest.java
@@ -155,10 +155,10 @@
     try (Socket socket = connect()) {
       String txn = send(socket, 1);
       String answer = receive(socket);
-      assertThat(answer).startsWith("HTTP/1.1 200").endsWith(Wire.answerBody(txn, "s1"));
-      assertThat(Wire.respondingHost(txn, Wire.answerBody(txn, "s1"))).isEqualTo("s1");
-      assertThat(Wire.respondingHost("other", Wire.answerBody(txn, "s1"))).isNull();
-      assertThat(Wire.respondingHost(txn, Wire.answerBody(txn, "s1") + "=")).isNull();
+      assertThat(answer).startsWith("HTTP/1.1 200").endsWith(Wire.responseBody(txn, "s1"));
+      assertThat(Wire.respondingHost(txn, Wire.responseBody(txn, "s1"))).isEqualTo("s1");
+      assertThat(Wire.respondingHost("other", Wire.responseBody(txn, "s1"))).isNull();
+      assertThat(Wire.respondingHost(txn, Wire.responseBody(txn, "s1") + "=")).isNull();
       onLoop(() -> assertThat(end(txn)).isEqualTo(AttemptEnd.SERVED));
     }
   }
@@ -224,7 +224,7 @@
       onLoop(host::drain);
       send(second, 1);
       assertThat(receive(second)).startsWith("HTTP/1.1 503").contains("X-Turned-Away: 1");
-      assertThat(receive(first)).endsWith(Wire.answerBody(had, "s1"));
+      assertThat(receive(first)).endsWith(Wire.responseBody(had, "s1"));
     }
   }
 
@@ -244,7 +244,7 @@
       String txn = send(socket, 1);
       assertThatThrownBy(
               () -> {
-                if (receive(socket).length() < Wire.answerBody(txn, "s1").length()) {
+                if (receive(socket).length() < Wire.responseBody(txn, "s1").length()) {
                   throw new SocketException("cut");
                 }
               })
@@ -352,8 +352,8 @@
       awaitEnd(gone, AttemptEnd.GIVEN_UP);
       onLoop(host::thaw);
       before.setSoTimeout(PATIENCE_MS);
-      assertThat(receive(before)).endsWith(Wire.answerBody(first, "s1"));
-      assertThat(receive(during)).endsWith(Wire.answerBody(second, "s1"));
+      assertThat(receive(before)).endsWith(Wire.responseBody(first, "s1"));
+      assertThat(receive(during)).endsWith(Wire.responseBody(second, "s1"));
     }
   }
 
--- a/src/test/java/hazelspoke/emulator/net/LinkTest.java
+++ b/src/test/java/hazelspoke/emulator/net/LinkTest.java
@@ -236,7 +236,7 @@
   void ofAHalfOpenConnectionTheCallerHearsNothingUntilItIsOver() throws Exception {
     Runnable[] over = new Runnable[1];
     try (Pair pair = new Pair()) {
-      on(l -> over[0] = l.halfOpen());
+      on(l -> over[0] = l.resetHostEnds());
       hearReset(pair.called);
       say(pair.caller, 'x');
       hearNothing(pair.caller);
