--- a/src/main/java/hazelspoke/Scripts.java
+++ b/src/main/java/hazelspoke/Scripts.java
@@ -5,11 +5,11 @@
 import hazelspoke.emulator.report.JsonReport;
 import hazelspoke.emulator.report.Results;
 import hazelspoke.emulator.report.TextReport;
-import hazelspoke.emulator.run.ApartHosts;
 import hazelspoke.emulator.run.EmulatorWarmUp;
 import hazelspoke.emulator.run.GatewayLauncher;
-import hazelspoke.emulator.run.LocalGateways;
-import hazelspoke.emulator.run.ProcessGateways;
+import hazelspoke.emulator.run.HostProcesses;
+import hazelspoke.emulator.run.InProcessGatewayLauncher;
+import hazelspoke.emulator.run.ProcessGatewayLauncher;
 import hazelspoke.emulator.run.Rehearsal;
 import hazelspoke.emulator.script.ScriptException;
 import hazelspoke.emulator.script.ScriptReader;
@@ -83,8 +83,8 @@
     Path home = Path.of(System.getProperty("pumicetray.home", "."));
     GatewayLauncher launcher =
         world.script().fleet().inProcess()
-            ? new LocalGateways()
-            : new ProcessGateways(home, world.script().fleet().sockets());
+            ? new InProcessGatewayLauncher()
+            : new ProcessGatewayLauncher(home, world.script().fleet().sockets());
     List<String> javaCommand =
         List.of(
             ProcessHandle.current().info().command().orElse("java"),
@@ -93,7 +93,7 @@
             "-cp",
             System.getProperty("java.class.path"),
             "hazelspoke.Main");
-    ApartHosts apart = new ApartHosts(javaCommand, folder, world.seed());
+    HostProcesses apart = new HostProcesses(javaCommand, folder, world.seed());
     return new Rehearsal(world, launcher, apart, folder, progress).run();
   }
 
--- a/src/main/java/hazelspoke/TormentCommand.java
+++ b/src/main/java/hazelspoke/TormentCommand.java
@@ -7,7 +7,7 @@
 import hazelspoke.emulator.script.ScriptException;
 import hazelspoke.emulator.script.ScriptReader;
 import hazelspoke.emulator.script.ScriptWriter;
-import hazelspoke.emulator.torment.FaultDraw;
+import hazelspoke.emulator.torment.FaultGenerator;
 import hazelspoke.emulator.torment.Shrinker;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -102,7 +102,7 @@
     require(base.fleet().apart().isEmpty(), options.script() + ": fleet.apart: must be empty");
     Script longer = base.withProcesses(gateways, ms);
     List<Fault> faults = new ArrayList<>(base.faults());
-    faults.addAll(FaultDraw.draw(longer, options.seed()));
+    faults.addAll(FaultGenerator.generate(longer, options.seed()));
     faults.sort(Comparator.comparingDouble(Fault::atMs));
     try {
       // Written and read again, so that the script printed after a violation is the one that ran
--- a/src/main/java/hazelspoke/emulator/run/EmulatorWarmUp.java
+++ b/src/main/java/hazelspoke/emulator/run/EmulatorWarmUp.java
@@ -43,6 +43,6 @@
       throw new IllegalStateException(e);
     }
     PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
-    new Rehearsal(world, new LocalGateways(), null, folder, nowhere).run();
+    new Rehearsal(world, new InProcessGatewayLauncher(), null, folder, nowhere).run();
   }
 }
--- a/src/main/java/hazelspoke/emulator/run/Faults.java
+++ b/src/main/java/hazelspoke/emulator/run/Faults.java
@@ -136,7 +136,7 @@
     stage.at(stage.now() + fault.every(), () -> pause(fault, host, until));
   }
 
-  private void begin(Fault fault, Gateways.Gate gate) {
+  private void begin(Fault fault, Gateways.GatewayProcess gate) {
     switch (fault.kind()) {
       case GATEWAY_TERM -> gateways.term(gate);
       case GATEWAY_KILL, DISK_TORN, DISK_FLIPPED, DISK_LOST -> gateways.kill(gate);
@@ -152,7 +152,7 @@
       case HOSTS -> struck.forEach(name -> end(fault, fleet.host(name)));
       case GATEWAYS -> {
         for (String name : struck) {
-          Gateways.Gate gate = gateways.gate(name);
+          Gateways.GatewayProcess gate = gateways.gate(name);
           if (fault.kind() == Fault.Kind.GATEWAY_STOP) {
             gateways.goOn(gate);
           } else if (fault.kind() != Fault.Kind.GATEWAY_PAUSE) {
--- a/src/main/java/hazelspoke/emulator/run/Fleet.java
+++ b/src/main/java/hazelspoke/emulator/run/Fleet.java
@@ -43,7 +43,7 @@
       Ledger ledger,
       Registry registry,
       Links links,
-      ApartHosts apart)
+      HostProcesses apart)
       throws IOException {
     this.stage = stage;
     this.script = world.script();
--- a/src/main/java/hazelspoke/emulator/run/Gateways.java
+++ b/src/main/java/hazelspoke/emulator/run/Gateways.java
@@ -69,7 +69,7 @@
   private final Links links;
   private final GatewayLauncher launcher;
   private final Path folder;
-  private final List<Gate> gates = new ArrayList<>();
+  private final List<GatewayProcess> gates = new ArrayList<>();
   private final ExecutorService operators =
       Executors.newCachedThreadPool(
           task -> {
@@ -82,14 +82,14 @@
   private volatile boolean closing;
 
   /** One gateway, and what is known of its process. */
-  static final class Gate {
+  static final class GatewayProcess {
     final GatewayEndpoint seat;
     final Path config;
     final Map<String, String> environment = new HashMap<>();
     final Path log;
     String discovery;
     volatile GatewayHandle handle;
-    volatile Samples.Sample sample;
+    volatile ProcessStats.Sample sample;
     double outSince = Double.NaN;
     boolean wanted = true;
     int crashes;
@@ -99,7 +99,7 @@
     /** Where it listens for the other gateways; null where they share no record. */
     InetSocketAddress record;
 
-    Gate(GatewayEndpoint seat, Path folder) {
+    GatewayProcess(GatewayEndpoint seat, Path folder) {
       this.seat = seat;
       String name = "g" + (seat.gateway() + 1);
       config = folder.resolve(name + ".json");
@@ -128,7 +128,8 @@
     for (int i = 0; i < world.gatewaySites().size(); i++) {
       InetSocketAddress listen = Ports.free(GATEWAY_NET, i);
       InetSocketAddress list = Ports.free(DISCOVERY_NET, i);
-      Gate gate = new Gate(new GatewayEndpoint(i, world.gatewaySites().get(i), listen), folder);
+      GatewayProcess gate =
+          new GatewayProcess(new GatewayEndpoint(i, world.gatewaySites().get(i), listen), folder);
       gate.discovery = Ports.text(list);
       discovery.open(i, list);
       gates.add(gate);
@@ -138,12 +139,12 @@
   /** Where the gateways share a record: each is told of the others at its own ways to them. */
   void shareRecord() throws IOException {
     List<InetSocketAddress> addresses = new ArrayList<>();
-    for (Gate gate : gates) {
+    for (GatewayProcess gate : gates) {
       gate.record = Ports.free(RECORD_NET, gate.seat.gateway());
       addresses.add(gate.record);
     }
     links.connectGateways(addresses);
-    for (Gate gate : gates) {
+    for (GatewayProcess gate : gates) {
       int g = gate.seat.gateway();
       Path file = folder.resolve("g" + (g + 1) + ".toml");
       Files.writeString(file, RecordFile.write(g, addresses, links, world.script(), folder));
@@ -151,21 +152,21 @@
     }
   }
 
-  List<Gate> all() {
+  List<GatewayProcess> all() {
     return gates;
   }
 
-  Gate gate(String name) {
+  GatewayProcess gate(String name) {
     return gates.get(Integer.parseInt(name.substring(1)) - 1);
   }
 
   /** Starts all of them at once and returns when every one is ready. */
   void start() throws IOException, InterruptedException {
-    for (Gate gate : gates) {
+    for (GatewayProcess gate : gates) {
       stage.loop().submit(() -> writeConfig(gate)).syncUninterruptibly();
       launch(gate);
     }
-    for (Gate gate : gates) {
+    for (GatewayProcess gate : gates) {
       if (!awaitReady(gate)) {
         throw new IOException(
             "g"
@@ -186,7 +187,7 @@
     }
   }
 
-  private void writeConfig(Gate gate) {
+  private void writeConfig(GatewayProcess gate) {
     int i = gate.seat.gateway();
     String text =
         ConfigFile.write(
@@ -206,7 +207,7 @@
     }
   }
 
-  private void launch(Gate gate) throws IOException {
+  private void launch(GatewayProcess gate) throws IOException {
     String name = "g" + (gate.seat.gateway() + 1);
     gate.starts++;
     Path temporary = Files.createTempDirectory(folder, name + "-tmp");
@@ -218,7 +219,7 @@
     gate.handle = launcher.launch(name, gate.environment, gate.log);
   }
 
-  private boolean awaitReady(Gate gate) throws InterruptedException {
+  private boolean awaitReady(GatewayProcess gate) throws InterruptedException {
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_PATIENCE_MS);
     while (System.nanoTime() < end && !closing && gate.handle.isAlive()) {
       if (isReady(gate.seat.address())) {
@@ -245,7 +246,7 @@
   }
 
   /** SIGKILL; what it held is its clients' to retry. */
-  void kill(Gate gate) {
+  void kill(GatewayProcess gate) {
     gate.wanted = false;
     out(gate);
     signal(gate, Signal.KILL);
@@ -253,7 +254,7 @@
   }
 
   /** Its machine is cut off: it says nothing more, and is ended for good when it starts again. */
-  void vanish(Gate gate) {
+  void vanish(GatewayProcess gate) {
     if (gate.handle.pid() < 0) {
       // Without a process of its own there is nothing that could stand still.
       kill(gate);
@@ -264,20 +265,20 @@
   }
 
   /** SIGTERM, as at a planned restart. */
-  void term(Gate gate) {
+  void term(GatewayProcess gate) {
     gate.wanted = false;
     signal(gate, Signal.TERM);
     stage.at(stage.now() + LEAVE_MS, () -> gate.seat.setInRotation(false));
   }
 
   /** Nothing more can be written at it, to whatever file. */
-  void fillDisk(Gate gate) {
+  void fillDisk(GatewayProcess gate) {
     GatewayHandle handle = gate.handle;
     operators.execute(() -> handle.diskFull(true));
   }
 
   /** Starts one again that was ended; what still runs of it is killed first. */
-  void startAgain(Gate gate) {
+  void startAgain(GatewayProcess gate) {
     startAgain(gate, null);
   }
 
@@ -286,7 +287,7 @@
    *
    * @param strike what has happened to its disk meanwhile; null for nothing
    */
-  void startAgain(Gate gate, Fault.Kind strike) {
+  void startAgain(GatewayProcess gate, Fault.Kind strike) {
     out(gate);
     writeConfig(gate);
     SplittableRandom random =
@@ -296,7 +297,7 @@
           try {
             gate.handle.close();
             if (strike != null) {
-              new RecordDisk(dataOf(gate)).strike(strike, random);
+              new RecordDiskFaults(dataOf(gate)).strike(strike, random);
             }
             launch(gate);
             if (strike != null && strike.losesVote()) {
@@ -316,12 +317,12 @@
         });
   }
 
-  private Path dataOf(Gate gate) {
+  private Path dataOf(GatewayProcess gate) {
     return folder.resolve("g" + (gate.seat.gateway() + 1) + "-data");
   }
 
   /** As an operator would: says that the process before is over, and gives the new disk a vote. */
-  private void replace(Gate gate) {
+  private void replace(GatewayProcess gate) {
     String name = "g" + (gate.seat.gateway() + 1);
     boolean votes = gate.seat.gateway() < world.script().fleet().voters();
     boolean over = false;
@@ -353,7 +354,7 @@
     return replaced.get();
   }
 
-  private void back(Gate gate) {
+  private void back(GatewayProcess gate) {
     gate.wanted = true;
     ledger.outage(gate.seat.gateway(), gate.outSince, stage.now());
     gate.outSince = Double.NaN;
@@ -362,7 +363,7 @@
   }
 
   /** SIGSTOP. */
-  void stop(Gate gate) {
+  void stop(GatewayProcess gate) {
     out(gate);
     signal(gate, Signal.STOP);
     undealLater(gate);
@@ -372,7 +373,7 @@
    * SIGSTOP and, once the time is up, SIGCONT. Nothing that is lost meanwhile is excused, and the
    * front does not notice.
    */
-  void pause(Gate gate, double forMs) {
+  void pause(GatewayProcess gate, double forMs) {
     GatewayHandle handle = gate.handle;
     operators.execute(
         () -> {
@@ -387,7 +388,7 @@
   }
 
   /** What its process has said must never happen, a line each; none where it keeps no log. */
-  List<String> violations(Gate gate) {
+  List<String> violations(GatewayProcess gate) {
     if (!Files.exists(gate.log)) {
       return List.of();
     }
@@ -401,21 +402,21 @@
   }
 
   /** SIGCONT. */
-  void goOn(Gate gate) {
+  void goOn(GatewayProcess gate) {
     signal(gate, Signal.CONT);
     ledger.outage(gate.seat.gateway(), gate.outSince, stage.now() + CATCH_UP_MS);
     gate.outSince = Double.NaN;
     stage.at(stage.now() + CATCH_UP_MS, () -> gate.seat.setInRotation(true));
   }
 
-  void hangUp(Gate gate) {
+  void hangUp(GatewayProcess gate) {
     signal(gate, Signal.HUP);
   }
 
   /** Discovery is elsewhere from now on: configurations are replaced, and SIGHUP says so. */
   void moveDiscovery() {
     moves++;
-    for (Gate gate : gates) {
+    for (GatewayProcess gate : gates) {
       try {
         InetSocketAddress next =
             Ports.free(DISCOVERY_NET, moves * gates.size() + gate.seat.gateway());
@@ -429,13 +430,13 @@
     }
   }
 
-  private void out(Gate gate) {
+  private void out(GatewayProcess gate) {
     if (Double.isNaN(gate.outSince)) {
       gate.outSince = stage.now();
     }
   }
 
-  private void undealLater(Gate gate) {
+  private void undealLater(GatewayProcess gate) {
     double unit = SeededRandom.unit(world.seed(), gate.seat.gateway(), gate.outages++);
     double notice = NOTICE_LEAST_MS + unit * (NOTICE_MOST_MS - NOTICE_LEAST_MS);
     double since = gate.outSince;
@@ -448,14 +449,14 @@
         });
   }
 
-  private void signal(Gate gate, Signal signal) {
+  private void signal(GatewayProcess gate, Signal signal) {
     GatewayHandle handle = gate.handle;
     operators.execute(() -> handle.signal(signal));
   }
 
   /** Looks at every process, and notes those that have ended by themselves. */
   void look() {
-    for (Gate gate : gates) {
+    for (GatewayProcess gate : gates) {
       GatewayHandle handle = gate.handle;
       if (gate.wanted && !handle.isAlive()) {
         gate.wanted = false;
@@ -463,13 +464,13 @@
         out(gate);
         undealLater(gate);
       }
-      operators.execute(() -> gate.sample = Samples.of(handle.pid()));
+      operators.execute(() -> gate.sample = ProcessStats.of(handle.pid()));
     }
   }
 
   /** Notes the outages that last to the end. */
   void settle() {
-    for (Gate gate : gates) {
+    for (GatewayProcess gate : gates) {
       if (!Double.isNaN(gate.outSince)) {
         ledger.outage(gate.seat.gateway(), gate.outSince, Double.POSITIVE_INFINITY);
       }
@@ -480,7 +481,7 @@
   public void close() {
     closing = true;
     operators.shutdown();
-    for (Gate gate : gates) {
+    for (GatewayProcess gate : gates) {
       if (gate.handle != null) {
         gate.handle.close();
       }
--- a/src/main/java/hazelspoke/emulator/run/ApartHosts.java
+++ b/src/main/java/hazelspoke/emulator/run/HostProcesses.java
@@ -22,7 +22,7 @@
  * Stock servers in processes of their own, so that a script's crash and freeze can be held against
  * SIGKILL and SIGSTOP. What they see comes back as lines; both sides read one monotonic clock.
  */
-public final class ApartHosts {
+public final class HostProcesses {
   private final List<String> command;
   private final Path folder;
   private final long seed;
@@ -31,17 +31,17 @@
    * @param command what starts the command line of this program
    * @param folder where a copy of the script lies, as {@code script.toml}
    */
-  public ApartHosts(List<String> command, Path folder, long seed) {
+  public HostProcesses(List<String> command, Path folder, long seed) {
     this.command = List.copyOf(command);
     this.folder = folder;
     this.seed = seed;
   }
 
   StockHost host(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
-    return new Apart(stage, spec, address, ledger);
+    return new HostProcess(stage, spec, address, ledger);
   }
 
-  private final class Apart implements StockHost {
+  private final class HostProcess implements StockHost {
     private final EmulatorLoop stage;
     private final ServerSpec spec;
     private final InetSocketAddress address;
@@ -50,7 +50,7 @@
     private OsProcess handle;
     private int starts;
 
-    Apart(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
+    HostProcess(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
       this.stage = stage;
       this.spec = spec;
       this.address = address;
--- a/src/main/java/hazelspoke/emulator/run/LocalGateways.java
+++ b/src/main/java/hazelspoke/emulator/run/InProcessGatewayLauncher.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** Gateways in this process, each on a loop of its own. */
-public final class LocalGateways implements GatewayLauncher {
+public final class InProcessGatewayLauncher implements GatewayLauncher {
   @Override
   public GatewayHandle launch(String name, Map<String, String> environment, Path log)
       throws IOException {
--- a/src/main/java/hazelspoke/emulator/run/Lateness.java
+++ b/src/main/java/hazelspoke/emulator/run/LagStatistics.java
@@ -6,7 +6,7 @@
  * How late the emulator itself was: a rehearsal whose own clients and hosts came late says nothing
  * of a gateway.
  */
-public final class Lateness {
+public final class LagStatistics {
   private static final double TAIL = 0.99;
 
   private double[] values = new double[1_024];
--- a/src/main/java/hazelspoke/emulator/run/ProcessGateways.java
+++ b/src/main/java/hazelspoke/emulator/run/ProcessGatewayLauncher.java
@@ -11,7 +11,7 @@
  * Gateways as the deployment runs them: processes of their own with the command line of {@code
  * run}, its limits of memory among it, and the limit of descriptors that the script has.
  */
-public final class ProcessGateways implements GatewayLauncher {
+public final class ProcessGatewayLauncher implements GatewayLauncher {
   private final Path home;
   private final String run;
   private final int sockets;
@@ -20,12 +20,12 @@
    * @param home the root of the repository
    * @throws IOException when the deploy file there has no command line
    */
-  public ProcessGateways(Path home, int sockets) throws IOException {
+  public ProcessGatewayLauncher(Path home, int sockets) throws IOException {
     this(home, deployed(home.resolve("deploy/balancer.toml")), sockets);
   }
 
   /** Gateways by another command line, in this folder. */
-  ProcessGateways(Path home, String run, int sockets) {
+  ProcessGatewayLauncher(Path home, String run, int sockets) {
     this.home = home;
     this.run = run;
     this.sockets = sockets;
--- a/src/main/java/hazelspoke/emulator/run/Samples.java
+++ b/src/main/java/hazelspoke/emulator/run/ProcessStats.java
@@ -5,13 +5,13 @@
 import java.nio.file.Path;
 
 /** What the system tells of a process, from {@code /proc} (proc(5)). */
-final class Samples {
+final class ProcessStats {
   private static final double TICKS_PER_S = 100;
   private static final int UTIME = 11;
   private static final int STIME = 12;
   private static final double KB_PER_MB = 1_024;
 
-  private Samples() {}
+  private ProcessStats() {}
 
   /**
    * @param cpuS CPU time used since its start, in seconds
--- a/src/main/java/hazelspoke/emulator/run/RecordDisk.java
+++ b/src/main/java/hazelspoke/emulator/run/RecordDiskFaults.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 
 /** What a gateway keeps of the record, and what happens to it while no process uses it. */
-final class RecordDisk {
+final class RecordDiskFaults {
   /** At most so many bytes of a write that was broken off, and so many of zeros behind it. */
   private static final int MOST_TORN = 512;
 
@@ -20,7 +20,7 @@
   /**
    * @param data the gateway's data folder
    */
-  RecordDisk(Path data) {
+  RecordDiskFaults(Path data) {
     this.data = data;
   }
 
--- a/src/main/java/hazelspoke/emulator/run/RecordWatch.java
+++ b/src/main/java/hazelspoke/emulator/run/RecordMonitor.java
@@ -20,7 +20,7 @@
  * record has come. For pictures and figures; the judge goes by what clients were answered. A thread
  * a gateway, as one that stands still answers late.
  */
-final class RecordWatch {
+final class RecordMonitor {
   private static final long EVERY_MS = 250;
   private static final double MS = 1e6;
   private static final int SECOND_MS = 1_000;
@@ -38,7 +38,7 @@
    *
    * @param zero when the load begins, by {@link System#nanoTime}
    */
-  RecordWatch(List<InetSocketAddress> gateways, long zero) {
+  RecordMonitor(List<InetSocketAddress> gateways, long zero) {
     this.zero = zero;
     for (InetSocketAddress at : gateways) {
       Queue<Look> seen = new ConcurrentLinkedQueue<>();
--- a/src/main/java/hazelspoke/emulator/run/Rehearsal.java
+++ b/src/main/java/hazelspoke/emulator/run/Rehearsal.java
@@ -53,7 +53,7 @@
   private final World world;
   private final Script script;
   private final GatewayLauncher launcher;
-  private final ApartHosts apart;
+  private final HostProcesses apart;
   private final Path folder;
   private final PrintStream progress;
   private final EventLoopGroup group =
@@ -63,17 +63,17 @@
   private final Registry registry = new Registry();
   private final List<Clients> clients = new ArrayList<>();
   private final List<Outcome> outcomes = new ArrayList<>();
-  private final Lateness arrivals = new Lateness();
-  private final Lateness beats = new Lateness();
+  private final LagStatistics arrivals = new LagStatistics();
+  private final LagStatistics beats = new LagStatistics();
   private final List<int[]> queues = new ArrayList<>();
-  private final List<List<Samples.Sample>> samples = new ArrayList<>();
+  private final List<List<ProcessStats.Sample>> samples = new ArrayList<>();
   private final CompletableFuture<Void> allDone = new CompletableFuture<>();
   private Fleet fleet;
 
   /** Those who use the gateways' record; null where they share none. */
   private RecordClients record;
 
-  private RecordWatch watch;
+  private RecordMonitor watch;
   private RecordFigures recorded;
 
   /** Null where gateways call hosts directly. */
@@ -92,7 +92,11 @@
    * @param progress lines while it plays
    */
   public Rehearsal(
-      World world, GatewayLauncher launcher, ApartHosts apart, Path folder, PrintStream progress) {
+      World world,
+      GatewayLauncher launcher,
+      HostProcesses apart,
+      Path folder,
+      PrintStream progress) {
     this.world = world;
     this.script = world.script();
     this.launcher = launcher;
@@ -132,7 +136,7 @@
           () -> {
             fleet.start();
             discovery.start();
-            for (Gateways.Gate gate : gateways.all()) {
+            for (Gateways.GatewayProcess gate : gateways.all()) {
               discovery.recordConfiguredHosts(gate.seat.gateway());
             }
           });
@@ -156,7 +160,7 @@
                 world.seed());
         record.start();
         long zero = System.nanoTime() + (long) ((base - stage.now()) * 1e6);
-        watch = new RecordWatch(gateways.all().stream().map(g -> g.record).toList(), zero);
+        watch = new RecordMonitor(gateways.all().stream().map(g -> g.record).toList(), zero);
       }
       await();
       if (record != null) {
@@ -368,7 +372,7 @@
           .forEach(
               what -> all.add(new Breach(Rule.RECORD, script.lengthMs(), "", what, List.of())));
     }
-    for (Gateways.Gate gate : gateways.all()) {
+    for (Gateways.GatewayProcess gate : gateways.all()) {
       for (String line : gateways.violations(gate)) {
         all.add(new Breach(Rule.VIOLATION, script.lengthMs(), "", line, List.of()));
       }
@@ -396,8 +400,8 @@
       double[] memory = new double[samples.size()];
       double[] descriptors = new double[samples.size()];
       for (int i = 0; i < samples.size(); i++) {
-        Samples.Sample now = samples.get(i).get(g);
-        Samples.Sample before = i == 0 ? null : samples.get(i - 1).get(g);
+        ProcessStats.Sample now = samples.get(i).get(g);
+        ProcessStats.Sample before = i == 0 ? null : samples.get(i - 1).get(g);
         boolean sameProcess = now != null && before != null && now.cpuS() >= before.cpuS();
         cpu[i] = sameProcess ? (now.cpuS() - before.cpuS()) * MS / SAMPLE_MS : Double.NaN;
         memory[i] = now == null ? Double.NaN : now.memoryMb();
--- a/src/main/java/hazelspoke/emulator/run/StockServerProcess.java
+++ b/src/main/java/hazelspoke/emulator/run/StockServerProcess.java
@@ -14,7 +14,7 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 
-/** One stock server of a script's as a process of its own; see {@link ApartHosts}. */
+/** One stock server of a script's as a process of its own; see {@link HostProcesses}. */
 public final class StockServerProcess {
   private StockServerProcess() {}
 
--- a/src/main/java/hazelspoke/emulator/torment/FaultDraw.java
+++ b/src/main/java/hazelspoke/emulator/torment/FaultGenerator.java
@@ -17,7 +17,7 @@
  * overlap as chance has it; one process has one at a time, as two signals at once would mean
  * neither. The last part of a play is free of faults, so that what lasts beyond them is seen.
  */
-public final class FaultDraw {
+public final class FaultGenerator {
   /** From one fault's beginning to the next one's: a mean, drawn evenly up to twice of it. */
   private static final double GAP_MS = 900;
 
@@ -68,14 +68,14 @@
   private final Map<String, Double> busyUntil = new HashMap<>();
   private boolean diskLost;
 
-  private FaultDraw(Script script, long seed) {
+  private FaultGenerator(Script script, long seed) {
     this.script = script;
     random = SeededRandom.stream(seed, "torment");
   }
 
   /** Faults for a script of this length and fleet, in the order of their beginnings. */
-  public static List<Fault> draw(Script script, long seed) {
-    return new FaultDraw(script, seed).all();
+  public static List<Fault> generate(Script script, long seed) {
+    return new FaultGenerator(script, seed).all();
   }
 
   private List<Fault> all() {
--- a/src/test/java/hazelspoke/emulator/run/FleetProcessesTest.java
+++ b/src/test/java/hazelspoke/emulator/run/FleetProcessesTest.java
@@ -5,7 +5,7 @@
 import hazelspoke.emulator.report.Results;
 import hazelspoke.emulator.script.Script;
 import hazelspoke.emulator.script.ScriptReader;
-import hazelspoke.emulator.torment.FaultDraw;
+import hazelspoke.emulator.torment.FaultGenerator;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -53,7 +53,7 @@
   @ValueSource(longs = {5, 8})
   void theRecordAndTheRulesHoldThroughWhateverIsDrawn(long seed) throws Exception {
     Script fleet = read(24, 5, "");
-    Results r = play(fleet.withFaults(FaultDraw.draw(fleet, seed)));
+    Results r = play(fleet.withFaults(FaultGenerator.generate(fleet, seed)));
     assertThat(r.record().writes()).isGreaterThan(20);
     assertThat(r.record().reads()).isPositive();
   }
--- a/src/test/java/hazelspoke/emulator/run/RehearsalTest.java
+++ b/src/test/java/hazelspoke/emulator/run/RehearsalTest.java
@@ -65,7 +65,7 @@
     return new Rehearsal(
             world,
             launcher,
-            new ApartHosts(self, folder, 1),
+            new HostProcesses(self, folder, 1),
             folder,
             new PrintStream(OutputStream.nullOutputStream()))
         .run();
@@ -148,7 +148,7 @@
         gateways = ["g1"]
         """
             + WIDE.formatted(5_000, 20, 20);
-    Results r = play(script, new LocalGateways());
+    Results r = play(script, new InProcessGatewayLauncher());
     assertThat(r.breaches()).isEmpty();
     assertThat(r.crashes()).isZero();
     int asked = World.draw(ScriptReader.read("test", script), 1).arrivals().size();
@@ -189,7 +189,7 @@
         hosts = ["s2"]
         """
             + WIDE.formatted(5_000, 20, 20);
-    Results r = play(script, new LocalGateways());
+    Results r = play(script, new InProcessGatewayLauncher());
     assertThat(r.breaches()).isEmpty();
     assertSums(r, World.draw(ScriptReader.read("test", script), 1).arrivals().size());
     int served = r.classes().values().stream().mapToInt(Results.ClassResult::served).sum();
--- a/src/test/java/hazelspoke/emulator/run/SoakTest.java
+++ b/src/test/java/hazelspoke/emulator/run/SoakTest.java
@@ -6,7 +6,7 @@
 import hazelspoke.emulator.script.Fault;
 import hazelspoke.emulator.script.Script;
 import hazelspoke.emulator.script.ScriptReader;
-import hazelspoke.emulator.torment.FaultDraw;
+import hazelspoke.emulator.torment.FaultGenerator;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -75,7 +75,7 @@
     List<Fault> faults = new ArrayList<>(fleet.faults());
     List<String> ending =
         fleet.faults().stream().flatMap(f -> f.target().names().stream()).toList();
-    FaultDraw.draw(fleet, seed).stream()
+    FaultGenerator.generate(fleet, seed).stream()
         .filter(f -> f.kind() == Fault.Kind.GATEWAY_PAUSE || !strikes(f, ending))
         .forEach(faults::add);
     faults.sort(Comparator.comparingDouble(Fault::atMs));
--- a/src/test/java/hazelspoke/emulator/run/TormentTest.java
+++ b/src/test/java/hazelspoke/emulator/run/TormentTest.java
@@ -8,7 +8,7 @@
 import hazelspoke.emulator.report.Results;
 import hazelspoke.emulator.script.Script;
 import hazelspoke.emulator.script.ScriptReader;
-import hazelspoke.emulator.torment.FaultDraw;
+import hazelspoke.emulator.torment.FaultGenerator;
 import java.io.File;
 import java.nio.file.Path;
 import java.util.Map;
@@ -28,7 +28,7 @@
         System.getProperty("java.class.path")
             + File.pathSeparator
             + Path.of("target/classes").toAbsolutePath();
-    return new ProcessGateways(
+    return new ProcessGatewayLauncher(
         Path.of("."),
         "exec java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xmx56m -cp '"
             + classes
@@ -55,7 +55,7 @@
             add_s = 0.2
             """
                 + RehearsalTest.WIDE.formatted(5_000, 20, 20));
-    Script script = fleet.withFaults(FaultDraw.draw(fleet, seed));
+    Script script = fleet.withFaults(FaultGenerator.generate(fleet, seed));
     Results r = RehearsalTest.play(folder, script, processes());
     assertThat(r.breaches()).isEmpty();
     assertThat(r.crashes()).isZero();
--- a/src/test/java/hazelspoke/emulator/torment/FaultDrawTest.java
+++ b/src/test/java/hazelspoke/emulator/torment/FaultGeneratorTest.java
@@ -19,7 +19,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-class FaultDrawTest {
+class FaultGeneratorTest {
   private static Script script() throws Exception {
     return ScriptReader.read(
         "test", "length_s = 30\n[fleet]\ngateways = 4\nservers = 6\n[load]\nrate = 10\n");
@@ -29,15 +29,15 @@
   void eachProcessHasOneFaultAtATimeAndTheLastPartIsCalm() throws Exception {
     Set<Kind> kinds = EnumSet.noneOf(Kind.class);
     for (long seed = 0; seed < 1_000; seed++) {
-      List<Fault> faults = FaultDraw.draw(script(), seed);
-      assertThat(faults).isEqualTo(FaultDraw.draw(script(), seed));
+      List<Fault> faults = FaultGenerator.generate(script(), seed);
+      assertThat(faults).isEqualTo(FaultGenerator.generate(script(), seed));
       Map<String, Double> free = new HashMap<>();
       double last = 0;
       for (Fault f : faults) {
         kinds.add(f.kind());
         assertThat(f.atMs()).isGreaterThanOrEqualTo(last);
         last = f.atMs();
-        assertThat(f.endMs()).isLessThanOrEqualTo(30_000 * (1 - FaultDraw.CALM_PART));
+        assertThat(f.endMs()).isLessThanOrEqualTo(30_000 * (1 - FaultGenerator.CALM_PART));
         if (f.kind() == Kind.GATEWAY_PAUSE) {
           // Short enough for every rule to hold, and meant to strike one that is ending as well.
           assertThat(f.forMs()).isBetween(50.0, 150.0);
@@ -60,7 +60,7 @@
             "length_s = 60\n[fleet]\ngateways = 5\nservers = 6\nvoters = 3\n[load]\nrate = 10\n");
     Set<Kind> kinds = EnumSet.noneOf(Kind.class);
     for (long seed = 0; seed < 300; seed++) {
-      List<Kind> drawn = FaultDraw.draw(script, seed).stream().map(Fault::kind).toList();
+      List<Kind> drawn = FaultGenerator.generate(script, seed).stream().map(Fault::kind).toList();
       assertThat(drawn.stream().filter(Kind::losesVote)).hasSizeLessThan(2);
       kinds.addAll(drawn);
     }
@@ -78,7 +78,7 @@
     }
     assertThat(scripts).hasSizeGreaterThan(10);
     for (long seed = 0; seed < 200; seed++) {
-      scripts.add(script().withFaults(FaultDraw.draw(script(), seed)));
+      scripts.add(script().withFaults(FaultGenerator.generate(script(), seed)));
     }
     for (Script s : scripts) {
       String text = ScriptWriter.write(s);
