--- a/src/main/java/hazelspoke/bench/scale/Places.java
+++ b/src/main/java/hazelspoke/bench/scale/FleetLayout.java
@@ -11,22 +11,21 @@
 import java.util.Map;
 
 /**
- * Who is who in a fleet of so many members: names, and an address of its own on loopback for each.
- * The first are the voters.
+ * Names and loopback addresses of the members of a fleet. The first {@code voters} members vote.
  *
- * @param block of the addresses, so that plays beside one another do not meet
+ * @param block selects the address range, so that concurrent runs do not collide
  */
-record Places(int members, int voters, int block) {
+record FleetLayout(int members, int voters, int block) {
   static final String FLEET = "scale";
 
   private static final int PORT = 7_400;
-  private static final int A_BLOCK = 200;
+  private static final int BLOCK_SIZE = 200;
 
-  /** Those of another size begin elsewhere, as a port stays taken for a while. */
+  /** Fleets of different sizes start at different addresses: a port stays in use for a while. */
   private InetSocketAddress address(int member) {
-    int place = member + members % A_BLOCK;
+    int index = member + members % BLOCK_SIZE;
     return new InetSocketAddress(
-        "127." + (100 + block) + "." + place / A_BLOCK + "." + (1 + place % A_BLOCK), PORT);
+        "127." + (100 + block) + "." + index / BLOCK_SIZE + "." + (1 + index % BLOCK_SIZE), PORT);
   }
 
   static String name(int member) {
@@ -41,7 +40,7 @@
     return List.copyOf(names);
   }
 
-  /** Of all of them; one map is shared by those of a process. */
+  /** Returns the addresses of all members; members of one process share the map. */
   Map<String, InetSocketAddress> addresses() {
     Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     for (int i = 0; i < members; i++) {
@@ -50,15 +49,15 @@
     return Map.copyOf(addresses);
   }
 
-  /** Of one member, with the usual times. */
+  /** Returns the settings of one member, with the default timings. */
   FleetSettings settings(
       int member, List<String> names, Map<String, InetSocketAddress> addresses, Path data) {
-    InetSocketAddress own = addresses.get(name(member));
+    InetSocketAddress address = addresses.get(name(member));
     return new FleetSettings(
         new MemberSettings(
             FLEET,
             name(member),
-            own.getHostString() + ":" + own.getPort(),
+            address.getHostString() + ":" + address.getPort(),
             names,
             names.subList(0, voters),
             MemberSettings.DEFAULT_LEASE_NANOS,
@@ -67,7 +66,7 @@
             MemberSettings.DEFAULT_SNAPSHOT_EVERY,
             true),
         addresses,
-        own,
+        address,
         data,
         FleetSettings.PartitionPolicy.SERVE);
   }
--- a/src/main/java/hazelspoke/bench/scale/ListScale.java
+++ b/src/main/java/hazelspoke/bench/scale/ListScale.java
@@ -24,50 +24,51 @@
 import ternscale.policy.LcStarBalancer;
 
 /**
- * One gateway's list and decisions by hosts, classes and tenants: bytes, processor time of the loop
- * and heap. The module and the reader of lists as they are in service, with no sockets round them.
+ * Measures the host list and the decisions of one gateway by hosts, classes and tenants: bytes,
+ * processor time of the event loop, and heap. Runs the production balancer and list reader without
+ * sockets.
  */
 final class ListScale {
-  private static final String BY = "hosts";
+  private static final String SIZE_UNIT = "hosts";
   private static final int ZONES = 6;
-  private static final int TIMES = 12;
-  private static final int REQUESTS = 4_000;
-  private static final int OPEN = 40;
-  private static final int HOSTS_OF_SETTINGS = 1_150;
+  private static final int REPETITIONS = 12;
+  private static final int MEASURED_REQUESTS = 4_000;
+  private static final int MAX_OPEN = 40;
+  private static final int HOSTS_FOR_SETTINGS = 1_150;
   private static final List<Integer> CLASSES = List.of(3, 55, 110, 220);
   private static final List<Integer> TENANTS = List.of(100, 6_000, 12_000, 24_000);
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
   private static final Names NAMES =
       new Names(List.of(), List.of(), zones(), List.of("m2"), List.of());
 
-  private final Figures figures;
+  private final MetricTable metrics;
 
-  ListScale(Figures figures) {
-    this.figures = figures;
+  ListScale(MetricTable metrics) {
+    this.metrics = metrics;
   }
 
   private static List<String> zones() {
     return List.of("a", "b", "c", "d", "e", "f");
   }
 
-  void play(List<Integer> hosts) throws IOException {
+  void measure(List<Integer> hosts) throws IOException {
     for (int size : hosts) {
-      list(size);
-      decisions(size);
+      measureList(size);
+      measureDecisions(size);
     }
     for (int classes : CLASSES) {
-      figures.add(
+      metrics.add(
           "a module's heap with 1,150 hosts, MB",
           "classes",
           classes,
-          heap(HOSTS_OF_SETTINGS, classes, 1) / 1e6);
+          heapBytes(HOSTS_FOR_SETTINGS, classes, 1) / 1e6);
     }
     for (int tenants : TENANTS) {
-      figures.add(
+      metrics.add(
           "a module's heap with 1,150 hosts and 3 classes, MB",
           "tenants",
           tenants,
-          heap(HOSTS_OF_SETTINGS, 3, tenants) / 1e6);
+          heapBytes(HOSTS_FOR_SETTINGS, 3, tenants) / 1e6);
     }
   }
 
@@ -85,7 +86,7 @@
         status);
   }
 
-  private static byte[] line(boolean whole, int index, int from, int to, String status) {
+  private static byte[] line(boolean isSnapshot, int index, int from, int to, String status) {
     List<String> entries = new ArrayList<>();
     for (int i = from; i < to; i++) {
       entries.add(entry(i, status));
@@ -94,70 +95,86 @@
         "{\"index\":"
             + index
             + ",\"snapshot\":"
-            + whole
+            + isSnapshot
             + ",\"endpoints\":["
             + String.join(",", entries)
             + "]}\n";
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Reads a line as it comes from a socket, and returns what it says. */
+  /** Parses a line as received from a socket. */
   private static HostList.Update read(byte[] line) throws IOException {
     HostListReader reader = new HostListReader(NAMES);
     List<HostList.Update> updates = reader.feed(line);
     return updates.get(updates.size() - 1);
   }
 
-  private static MembersUpdate told(HostList.Update update) {
+  private static MembersUpdate toMembersUpdate(HostList.Update update) {
     return new MembersUpdate(
         update.complete() ? Kind.FULL : Kind.DELTA,
         update.version(),
         update.hosts().stream().map(HostList.Listed::entry).toList());
   }
 
-  private void list(int hosts) throws IOException {
+  private void measureList(int hosts) throws IOException {
     byte[] whole = line(true, 1, 0, hosts, "Ready");
     byte[] change = line(false, 2, 0, 1, "Terminating");
-    figures.add("a whole list, KB", BY, hosts, whole.length / 1e3);
-    figures.add("a change of one host, B", BY, hosts, change.length);
+    metrics.add("a whole list, KB", SIZE_UNIT, hosts, whole.length / 1e3);
+    metrics.add("a change of one host, B", SIZE_UNIT, hosts, change.length);
     List<Double> readWhole = new ArrayList<>();
-    List<Double> takeWhole = new ArrayList<>();
+    List<Double> applyWhole = new ArrayList<>();
     List<Double> changed = new ArrayList<>();
     LcStarBalancer module = module(3, 1, 1);
-    for (int i = 0; i < TIMES; i++) {
-      long begun = THREADS.getCurrentThreadCpuTime();
+    for (int i = 0; i < REPETITIONS; i++) {
+      long beginNanos = THREADS.getCurrentThreadCpuTime();
       HostList.Update update = read(whole);
       long between = THREADS.getCurrentThreadCpuTime();
-      module.onMembers(i, told(update));
-      long taken = THREADS.getCurrentThreadCpuTime();
-      module.onMembers(i, told(read(change)));
+      module.onMembers(i, toMembersUpdate(update));
+      long applied = THREADS.getCurrentThreadCpuTime();
+      module.onMembers(i, toMembersUpdate(read(change)));
       long done = THREADS.getCurrentThreadCpuTime();
-      if (i >= TIMES / 2) {
-        readWhole.add((between - begun) / 1e6);
-        takeWhole.add((taken - between) / 1e6);
-        changed.add((done - taken) / 1e3);
+      if (i >= REPETITIONS / 2) {
+        readWhole.add((between - beginNanos) / 1e6);
+        applyWhole.add((applied - between) / 1e6);
+        changed.add((done - applied) / 1e3);
       }
     }
-    figures.add("reading a whole list, ms of the loop", BY, hosts, Slope.quantile(readWhole, 0.5));
-    figures.add("taking a whole list, ms of the loop", BY, hosts, Slope.quantile(takeWhole, 0.5));
-    figures.add("reading and taking a change, us", BY, hosts, Slope.quantile(changed, 0.5));
+    metrics.add(
+        "reading a whole list, ms of the loop",
+        SIZE_UNIT,
+        hosts,
+        LinearFit.quantile(readWhole, 0.5));
+    metrics.add(
+        "taking a whole list, ms of the loop",
+        SIZE_UNIT,
+        hosts,
+        LinearFit.quantile(applyWhole, 0.5));
+    metrics.add(
+        "reading and taking a change, us", SIZE_UNIT, hosts, LinearFit.quantile(changed, 0.5));
     module.close();
   }
 
-  private void decisions(int hosts) throws IOException {
-    figures.add("a module's heap with 3 classes, MB", BY, hosts, heap(hosts, 3, 1) / 1e6);
-    figures.add("a request's decisions, us", BY, hosts, request(hosts, 0));
-    figures.add("a request's decisions while one host is cold, us", BY, hosts, request(hosts, 1));
+  private void measureDecisions(int hosts) throws IOException {
+    metrics.add(
+        "a module's heap with 3 classes, MB", SIZE_UNIT, hosts, heapBytes(hosts, 3, 1) / 1e6);
+    metrics.add("a request's decisions, us", SIZE_UNIT, hosts, requestMicros(hosts, 0));
+    metrics.add(
+        "a request's decisions while one host is cold, us",
+        SIZE_UNIT,
+        hosts,
+        requestMicros(hosts, 1));
   }
 
-  /** What a request costs the module, from its coming to its end, with some open meanwhile. */
-  private static double request(int hosts, int cold) throws IOException {
-    Sent sent = new Sent();
+  /**
+   * Returns the processor time per request in us, with up to {@code MAX_OPEN} requests in flight.
+   */
+  private static double requestMicros(int hosts, int cold) throws IOException {
+    SentRequests sent = new SentRequests();
     LcStarBalancer module = new LcStarBalancer(settings(3, 1), 1, 0, sent);
-    module.onMembers(0, told(read(line(true, 1, 0, hosts, "Ready"))));
+    module.onMembers(0, toMembersUpdate(read(line(true, 1, 0, hosts, "Ready"))));
     double now = 1_000_000;
     for (int i = 0; i < cold; i++) {
-      HostEntry started = told(read(line(false, 2, i, i + 1, "Ready"))).entries().get(0);
+      HostEntry started = toMembersUpdate(read(line(false, 2, i, i + 1, "Ready"))).entries().get(0);
       module.onMembers(
           now,
           new MembersUpdate(
@@ -173,42 +190,43 @@
                       started.availability(),
                       now))));
     }
-    long begun = 0;
-    for (int i = 0; i < 2 * REQUESTS; i++) {
-      if (i == REQUESTS) {
-        begun = THREADS.getCurrentThreadCpuTime();
+    long beginNanos = 0;
+    for (int i = 0; i < 2 * MEASURED_REQUESTS; i++) {
+      if (i == MEASURED_REQUESTS) {
+        beginNanos = THREADS.getCurrentThreadCpuTime();
       }
       now += 1;
       String id = Integer.toString(i);
       module.onRequest(
           now, new RequestInfo(id, i % 3, 0, now + 2_000, 5, "k" + i % 2_000, false, false));
-      if (sent.open.size() > OPEN) {
+      if (sent.open.size() > MAX_OPEN) {
         String oldest = sent.open.keySet().iterator().next();
         String host = sent.open.remove(oldest);
         module.onOutcome(now, new Outcome(oldest, host, 0, Outcome.Result.OK, 20, true, List.of()));
       }
     }
-    double us = (THREADS.getCurrentThreadCpuTime() - begun) / 1e3 / REQUESTS;
+    double us = (THREADS.getCurrentThreadCpuTime() - beginNanos) / 1e3 / MEASURED_REQUESTS;
     module.close();
     return us;
   }
 
-  private static double heap(int hosts, int classes, int tenants) throws IOException {
-    long before = used();
+  private static double heapBytes(int hosts, int classes, int tenants) throws IOException {
+    long before = usedHeapBytes();
     LcStarBalancer module = module(classes, tenants, hosts);
-    long after = used();
+    long after = usedHeapBytes();
     module.close();
     return after - before;
   }
 
-  private static long used() {
+  private static long usedHeapBytes() {
     System.gc();
     return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
   }
 
   private static LcStarBalancer module(int classes, int tenants, int hosts) throws IOException {
-    LcStarBalancer module = new LcStarBalancer(settings(classes, tenants), 1, 0, new Sent());
-    module.onMembers(0, told(read(line(true, 1, 0, hosts, "Ready"))));
+    LcStarBalancer module =
+        new LcStarBalancer(settings(classes, tenants), 1, 0, new SentRequests());
+    module.onMembers(0, toMembersUpdate(read(line(true, 1, 0, hosts, "Ready"))));
     return module;
   }
 
@@ -224,9 +242,9 @@
       grade.put("window", 2_000.0);
       grades.add(grade);
     }
-    List<Object> of = new ArrayList<>();
+    List<Object> tenantSettings = new ArrayList<>();
     for (int i = 0; i < tenants; i++) {
-      of.add(Map.of("name", "t" + i, "share", 1.0 / tenants));
+      tenantSettings.add(Map.of("name", "t" + i, "share", 1.0 / tenants));
     }
     Map<String, Object> settings = new LinkedHashMap<>();
     settings.put("areas", new ArrayList<Object>(zones()));
@@ -235,7 +253,7 @@
     settings.put("discovery", "on_request");
     settings.put("extra", Map.of("warm_keys", true));
     settings.put("grades", grades);
-    settings.put("tenants", of);
+    settings.put("tenants", tenantSettings);
     settings.put(
         "limits",
         Map.of(
@@ -256,8 +274,8 @@
     return SettingsReader.read(JsonTree.of("settings", settings));
   }
 
-  /** Keeps where requests went; all else that the module asks for is passed over. */
-  private static final class Sent implements Actions {
+  /** Records the host of each open request; ignores all other actions. */
+  private static final class SentRequests implements Actions {
     private final LinkedHashMap<String, String> open = new LinkedHashMap<>();
 
     @Override
--- a/src/main/java/hazelspoke/bench/scale/HollowFleet.java
+++ b/src/main/java/hazelspoke/bench/scale/NonVoterFleet.java
@@ -14,42 +14,42 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** The members that do not vote, hollow, on a few loops of this process. */
-final class HollowFleet implements AutoCloseable {
-  private static final String THREAD = "hollow";
-  private static final int LOOPS = 2;
+/** Non-voting members without a gateway, sharing a few event loops of this process. */
+final class NonVoterFleet implements AutoCloseable {
+  private static final String THREAD_PREFIX = "hollow";
+  private static final int EVENT_LOOPS = 2;
 
-  private final Places places;
+  private final FleetLayout layout;
   private final List<String> names;
   private final Map<String, InetSocketAddress> addresses;
   private final Path folder;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(
-          LOOPS, new DefaultThreadFactory(THREAD, true), NioIoHandler.newFactory());
+          EVENT_LOOPS, new DefaultThreadFactory(THREAD_PREFIX, true), NioIoHandler.newFactory());
   private final List<FleetNode> nodes = new ArrayList<>();
 
-  HollowFleet(Places places, Path folder) {
-    this.places = places;
+  NonVoterFleet(FleetLayout layout, Path folder) {
+    this.layout = layout;
     this.folder = folder;
-    names = places.names();
-    addresses = places.addresses();
+    names = layout.names();
+    addresses = layout.addresses();
   }
 
-  /** Starts all from this member on, as fast as this process can. */
+  /** Starts every member from the given number on, without pausing between them. */
   void open(int first) {
-    for (int member = first; member < places.members(); member++) {
+    for (int member = first; member < layout.members(); member++) {
       EventLoop loop = group.next();
       nodes.add(
           FleetNode.open(
-              places.settings(member, names, addresses, folder.resolve(Places.name(member))),
+              layout.settings(member, names, addresses, folder.resolve(FleetLayout.name(member))),
               loop,
               line -> {},
               () -> {}));
     }
   }
 
-  /** So many end at once, as if their processes had; the last ones. */
-  void lose(int count) {
+  /** Closes the last {@code count} members at once, as if their processes had ended. */
+  void closeLast(int count) {
     for (int i = 0; i < count; i++) {
       nodes.remove(nodes.size() - 1).close();
     }
@@ -64,40 +64,40 @@
   }
 
   long cpuNanos() {
-    return Voter.cpuNanos(List.of(THREAD));
+    return Voter.cpuNanos(List.of(THREAD_PREFIX));
   }
 
-  long in() {
+  long receivedBytes() {
     return nodes.stream().mapToLong(n -> n.traffic().receivedBytes()).sum();
   }
 
-  long out() {
+  long sentBytes() {
     return nodes.stream().mapToLong(n -> n.traffic().sentBytes()).sum();
   }
 
   /**
-   * Waits until this holds of all of them.
+   * Waits until the condition holds for every member, or until the timeout.
    *
-   * @return for each how long that took, in ms, from a moment on; as many as it came true for
+   * @return in ms since {@code fromNanos}, when it came true, for each member where it did
    */
-  List<Double> await(Predicate<FleetNode> what, long fromNanos, long mostMs)
+  List<Double> await(Predicate<FleetNode> condition, long fromNanos, long timeoutMs)
       throws InterruptedException {
-    List<FleetNode> left = new ArrayList<>(nodes);
-    List<Double> took = new ArrayList<>();
-    long end = fromNanos + TimeUnit.MILLISECONDS.toNanos(mostMs);
-    while (!left.isEmpty() && System.nanoTime() < end) {
+    List<FleetNode> remaining = new ArrayList<>(nodes);
+    List<Double> elapsedMs = new ArrayList<>();
+    long end = fromNanos + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+    while (!remaining.isEmpty() && System.nanoTime() < end) {
       double now = (System.nanoTime() - fromNanos) / 1e6;
-      left.removeIf(
+      remaining.removeIf(
           node -> {
-            boolean done = what.test(node);
+            boolean done = condition.test(node);
             if (done) {
-              took.add(now);
+              elapsedMs.add(now);
             }
             return done;
           });
       TimeUnit.MILLISECONDS.sleep(1);
     }
-    return took;
+    return elapsedMs;
   }
 
   @Override
--- a/src/main/java/hazelspoke/bench/scale/Reading.java
+++ b/src/main/java/hazelspoke/bench/scale/Reading.java
@@ -1,30 +1,30 @@
 package hazelspoke.bench.scale;
 
 /**
- * How a voter's process is at one moment.
+ * State and resource usage of a voter process at one moment.
  *
- * @param well whether it has joined and holds
- * @param index up to which it knows the record
- * @param cpuNanos processor time of its loop since the start
- * @param heapBytes used, with what nobody needs any more
- * @param in bytes that came from other members
- * @param out bytes that went to them
- * @param elections that it has won
+ * @param isReady whether it has joined and has a valid lease
+ * @param index last record index that it knows
+ * @param cpuNanos processor time of its event loop since the start
+ * @param heapBytes used heap, including garbage that is not yet collected
+ * @param receivedBytes bytes received from other members
+ * @param sentBytes bytes sent to other members
+ * @param elections number of elections that it has won
  */
 record Reading(
-    boolean well,
-    boolean leads,
+    boolean isReady,
+    boolean isLeader,
     long index,
     long cpuNanos,
     long heapBytes,
-    long in,
-    long out,
+    long receivedBytes,
+    long sentBytes,
     long descriptors,
     long elections) {
   String text() {
-    return well
+    return isReady
         + " "
-        + leads
+        + isLeader
         + " "
         + index
         + " "
@@ -32,16 +32,16 @@
         + " "
         + heapBytes
         + " "
-        + in
+        + receivedBytes
         + " "
-        + out
+        + sentBytes
         + " "
         + descriptors
         + " "
         + elections;
   }
 
-  static Reading read(String text) {
+  static Reading parse(String text) {
     String[] parts = text.trim().split(" ");
     return new Reading(
         Boolean.parseBoolean(parts[0]),
--- a/src/main/java/hazelspoke/bench/scale/ScaleBench.java
+++ b/src/main/java/hazelspoke/bench/scale/ScaleBench.java
@@ -6,19 +6,19 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** All slopes, over several sizes. */
+/** Measures how resource usage grows with the size of the fleet and of the host list. */
 public final class ScaleBench {
-  /** So many places for plays beside one another. */
+  /** Number of address ranges that concurrent runs choose from. */
   private static final int BLOCKS = 100;
 
   /**
-   * What to measure.
+   * Sizes and durations of a benchmark run.
    *
    * @param members the sizes of fleets
    * @param hosts the lengths of lists
-   * @param rounds how often each, in turn
-   * @param idleS how long a fleet is watched at rest, in s
-   * @param jar of the version whose voters are measured
+   * @param rounds how often each size is measured, in alternation
+   * @param idleS how long an idle fleet is measured, in s
+   * @param jar the jar of the measured version
    */
   public record Plan(
       List<Integer> members, List<Integer> hosts, int rounds, double idleS, Path jar) {
@@ -30,7 +30,7 @@
 
   private final Plan plan;
   private final PrintStream progress;
-  private final Figures figures = new Figures();
+  private final MetricTable metrics = new MetricTable();
 
   public ScaleBench(Plan plan, PrintStream progress) {
     this.plan = plan;
@@ -38,38 +38,38 @@
   }
 
   /**
-   * Measures all of it.
+   * Runs all measurements.
    *
-   * @throws IOException if a list or a record that was written here cannot be read
+   * @throws IOException if a list or a record that this process wrote cannot be read
    */
   public void run() throws IOException, InterruptedException {
     try {
-      new StateScale(figures).play(plan.members);
+      new StateScale(metrics).measureAll(plan.members);
     } catch (MalformedException e) {
-      throw new IOException("a record that was written cannot be read: " + e.getMessage(), e);
+      throw new IOException("cannot read back a written record: " + e.getMessage(), e);
     }
-    ListScale lists = new ListScale(figures);
+    ListScale lists = new ListScale(metrics);
     for (int round = 0; round < plan.rounds; round++) {
-      lists.play(plan.hosts);
+      lists.measure(plan.hosts);
       for (int members : plan.members) {
         progress.printf("round %d of %d, %d members%n", round + 1, plan.rounds, members);
         try {
-          new RecordScale(plan.jar, plan.idleS, progress, figures)
-              .play(members, (int) (ProcessHandle.current().pid() % BLOCKS));
+          new RecordScale(plan.jar, plan.idleS, progress, metrics)
+              .measure(members, (int) (ProcessHandle.current().pid() % BLOCKS));
         } catch (IOException e) {
-          // A size that a fleet does not bear is a figure too, and what was measured of it counts.
+          // A size at which the fleet fails is a result too, and its earlier measurements count.
           progress.printf("%d members: broken off: %s%n", members, e);
-          figures.add("broken off", "members", members, 1);
+          metrics.add("broken off", "members", members, 1);
         }
       }
     }
   }
 
-  /** Prints the page; writes it as JSON too where a file is given. */
+  /** Prints the results, and writes them as JSON if a file is given. */
   public void report(PrintStream out, Path json) throws IOException {
-    figures.print(out);
+    metrics.print(out);
     if (json != null) {
-      figures.write(json);
+      metrics.write(json);
     }
   }
 }
--- a/src/main/java/hazelspoke/bench/scale/StateScale.java
+++ b/src/main/java/hazelspoke/bench/scale/StateScale.java
@@ -8,23 +8,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The record's state as bytes, and what it takes to write and read it, in this process. */
+/** Measures the size of the record's state, and the processor time to write and read it. */
 final class StateScale {
-  private static final int TIMES = 40;
+  private static final int REPETITIONS = 40;
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-  private final Figures figures;
+  private final MetricTable metrics;
 
-  StateScale(Figures figures) {
-    this.figures = figures;
+  StateScale(MetricTable metrics) {
+    this.metrics = metrics;
   }
 
-  /** A record of so many members, notes of 200 characters, and other origins. */
+  /** Returns a record of the given members, notes of 200 characters, and command origins. */
   private static FleetRecord record(int members, int notes, int origins) {
     FleetRecord record = new FleetRecord();
     long index = 0;
     for (int i = 0; i < members; i++) {
-      String name = Places.name(i);
+      String name = FleetLayout.name(i);
       index++;
       record.apply(
           index,
@@ -45,7 +45,7 @@
     return record;
   }
 
-  void play(List<Integer> members) throws MalformedException {
+  void measureAll(List<Integer> members) throws MalformedException {
     for (int size : members) {
       measure("members alone", size, record(size, 0, 0));
       measure("members, 256 notes of 200 characters", size, record(size, 256, 0));
@@ -55,21 +55,21 @@
 
   private void measure(String what, int members, FleetRecord record) throws MalformedException {
     byte[] bytes = record.bytes();
-    figures.add("state of " + what + ", KB", "members", members, bytes.length / 1e3);
+    metrics.add("state of " + what + ", KB", "members", members, bytes.length / 1e3);
     List<Double> write = new ArrayList<>();
     List<Double> read = new ArrayList<>();
-    for (int i = 0; i < TIMES; i++) {
+    for (int i = 0; i < REPETITIONS; i++) {
       long begun = THREADS.getCurrentThreadCpuTime();
       byte[] written = record.bytes();
       long between = THREADS.getCurrentThreadCpuTime();
       FleetRecord.read(written);
       long done = THREADS.getCurrentThreadCpuTime();
-      if (i >= TIMES / 2) {
+      if (i >= REPETITIONS / 2) {
         write.add((between - begun) / 1e6);
         read.add((done - between) / 1e6);
       }
     }
-    figures.add("writing " + what + ", ms", "members", members, Slope.quantile(write, 0.5));
-    figures.add("reading " + what + ", ms", "members", members, Slope.quantile(read, 0.5));
+    metrics.add("writing " + what + ", ms", "members", members, LinearFit.quantile(write, 0.5));
+    metrics.add("reading " + what + ", ms", "members", members, LinearFit.quantile(read, 0.5));
   }
 }
--- a/src/main/java/hazelspoke/bench/scale/Voter.java
+++ b/src/main/java/hazelspoke/bench/scale/Voter.java
@@ -16,25 +16,25 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Stream;
 
-/** A voter's process: a member and nothing else, which says how it is whenever it is asked. */
+/** Main code of a voter process: one member without a gateway, which reports on request. */
 public final class Voter {
-  /** What it answers begins with this, as its log goes the same way. */
-  static final String MARK = "reading ";
+  /** Prefix of a reading, as log lines go to the same stream. */
+  static final String READING_PREFIX = "reading ";
 
   private Voter() {}
 
   /**
-   * Runs one until its input ends; each line of that asks for a reading.
+   * Runs a voter until standard input ends; each input line requests a reading.
    *
-   * @param member which of them it is, from 0
+   * @param member number of this member, from 0
    */
   public static void run(int members, int voters, int block, int member, Path data, PrintStream out)
       throws IOException {
-    Places places = new Places(members, voters, block);
+    FleetLayout layout = new FleetLayout(members, voters, block);
     AtomicLong elections = new AtomicLong();
     try (FleetNode node =
             FleetNode.open(
-                places.settings(member, places.names(), places.addresses(), data),
+                layout.settings(member, layout.names(), layout.addresses(), data),
                 line -> {
                   if (line.contains("event=leads")) {
                     elections.incrementAndGet();
@@ -48,7 +48,7 @@
         if (line.equals("collect")) {
           System.gc();
         }
-        out.println(MARK + reading(node, elections.get()).text());
+        out.println(READING_PREFIX + reading(node, elections.get()).text());
         out.flush();
         line = in.readLine();
       }
@@ -75,12 +75,12 @@
     }
   }
 
-  /** What the threads have used whose names begin so. */
-  static long cpuNanos(List<String> names) {
+  /** Returns the processor time of all threads whose names have one of the prefixes. */
+  static long cpuNanos(List<String> prefixes) {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     long sum = 0;
     for (ThreadInfo thread : threads.getThreadInfo(threads.getAllThreadIds())) {
-      if (thread != null && names.stream().anyMatch(thread.getThreadName()::startsWith)) {
+      if (thread != null && prefixes.stream().anyMatch(thread.getThreadName()::startsWith)) {
         sum += threads.getThreadCpuTime(thread.getThreadId());
       }
     }
--- a/src/main/java/hazelspoke/bench/scale/VoterProcess.java
+++ b/src/main/java/hazelspoke/bench/scale/VoterProcess.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A voter that was started as a process, and is asked for readings. */
+/** A voter in a child process, which reports readings on request. */
 final class VoterProcess implements AutoCloseable {
-  private static final long END_S = 10;
+  private static final long SHUTDOWN_TIMEOUT_S = 10;
 
   private final Process process;
   private final BufferedReader in;
@@ -26,11 +26,12 @@
   }
 
   /**
-   * Starts one with the heap of a gateway's process.
+   * Starts a voter with the same heap limits as a gateway process.
    *
-   * @param jar of the version that is measured
+   * @param jar the jar of the measured version
    */
-  static VoterProcess start(Places places, int member, Path jar, Path data) throws IOException {
+  static VoterProcess start(FleetLayout layout, int member, Path jar, Path data)
+      throws IOException {
     return new VoterProcess(
         new ProcessBuilder(
                 List.of(
@@ -44,9 +45,9 @@
                     jar.toString(),
                     "bench",
                     "scale-voter",
-                    Integer.toString(places.members()),
-                    Integer.toString(places.voters()),
-                    Integer.toString(places.block()),
+                    Integer.toString(layout.members()),
+                    Integer.toString(layout.voters()),
+                    Integer.toString(layout.block()),
                     Integer.toString(member),
                     data.toString()))
             .redirectError(ProcessBuilder.Redirect.DISCARD)
@@ -54,28 +55,28 @@
   }
 
   /**
-   * How it is.
+   * Requests a reading.
    *
-   * @param collected whether what nobody needs is taken out of its heap first
-   * @throws IOException if it has ended
+   * @param collectFirst whether the voter runs a garbage collection first
+   * @throws IOException if the process has ended
    */
-  Reading read(boolean collected) throws IOException {
-    out.println(collected ? "collect" : "read");
+  Reading read(boolean collectFirst) throws IOException {
+    out.println(collectFirst ? "collect" : "read");
     String line = in.readLine();
-    while (line != null && !line.startsWith(Voter.MARK)) {
+    while (line != null && !line.startsWith(Voter.READING_PREFIX)) {
       line = in.readLine();
     }
     if (line == null) {
-      throw new IOException("a voter's process has ended");
+      throw new IOException("voter process ended before it sent a reading");
     }
-    return Reading.read(line.substring(Voter.MARK.length()));
+    return Reading.parse(line.substring(Voter.READING_PREFIX.length()));
   }
 
   @Override
   public void close() {
     out.close();
     try {
-      if (!process.waitFor(END_S, TimeUnit.SECONDS)) {
+      if (!process.waitFor(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS)) {
         process.destroyForcibly();
       }
     } catch (InterruptedException e) {
--- a/src/main/java/hazelspoke/bench/scale/package-info.java
+++ b/src/main/java/hazelspoke/bench/scale/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What grows with the fleet, and how fast: slopes over several sizes. Voters are processes of their
- * own with their disks; all other members are hollow, real members over real connections with no
- * gateway in front, many on one loop.
+ * Measures how resource usage grows with the fleet, as linear fits over several sizes. Voters run
+ * in processes of their own and write to disk; all other members are real members over real
+ * connections without a gateway, many on one event loop.
  */
 package hazelspoke.bench.scale;
