--- a/src/main/java/hazelspoke/bench/GcLog.java
+++ b/src/main/java/hazelspoke/bench/GcLog.java
@@ -9,17 +9,17 @@
 import java.util.regex.Pattern;
 
 /**
- * What a collector says of itself ({@code -Xlog:gc}), read from one place in its log to another.
- * What was allocated is what the heap grew by between two collections; the log speaks in whole MiB,
- * so that many collections are needed for a figure.
+ * Reads a range of lines of a garbage collection log ({@code -Xlog:gc}). Allocated bytes are the
+ * growth of the heap between two collections; the log has whole MiB only, so that an accurate value
+ * takes many collections.
  */
 final class GcLog {
   private static final Pattern PAUSE =
       Pattern.compile("Pause (Young|Full).*? (\\d+)M->(\\d+)M\\(\\d+M\\) ([0-9.]+)ms");
   private static final double BYTES_PER_MIB = 1 << 20;
 
-  /** Collections, those of the whole heap, the longest pause, and what was allocated. */
-  record Part(int collections, int full, double longestMs, double allocatedBytes) {}
+  /** All collections, full collections, the longest pause, and allocated bytes. */
+  record Summary(int collections, int full, double longestMs, double allocatedBytes) {}
 
   private final Path file;
 
@@ -27,7 +27,7 @@
     this.file = file;
   }
 
-  /** How many lines there are by now. */
+  /** Returns the current number of lines. */
   int lines() {
     return all().size();
   }
@@ -40,27 +40,28 @@
     }
   }
 
-  Part between(int from, int to) {
+  Summary between(int from, int to) {
     List<String> all = all();
     return read(all.subList(Math.min(from, all.size()), Math.min(to, all.size())));
   }
 
-  static Part read(List<String> lines) {
+  static Summary read(List<String> lines) {
     int collections = 0;
     int full = 0;
-    double longest = 0;
-    double allocated = 0;
-    int left = -1;
+    double longestMs = 0;
+    double allocatedMib = 0;
+    int usedAfterMib = -1;
     for (String line : lines) {
       Matcher m = PAUSE.matcher(line);
       if (m.find()) {
         collections++;
         full += m.group(1).equals("Full") ? 1 : 0;
-        longest = Math.max(longest, Double.parseDouble(m.group(4)));
-        allocated += left < 0 ? 0 : Math.max(0, Integer.parseInt(m.group(2)) - left);
-        left = Integer.parseInt(m.group(3));
+        longestMs = Math.max(longestMs, Double.parseDouble(m.group(4)));
+        allocatedMib +=
+            usedAfterMib < 0 ? 0 : Math.max(0, Integer.parseInt(m.group(2)) - usedAfterMib);
+        usedAfterMib = Integer.parseInt(m.group(3));
       }
     }
-    return new Part(collections, full, longest, allocated * BYTES_PER_MIB);
+    return new Summary(collections, full, longestMs, allocatedMib * BYTES_PER_MIB);
   }
 }
--- a/src/main/java/hazelspoke/bench/Load.java
+++ b/src/main/java/hazelspoke/bench/LoadGenerator.java
@@ -16,47 +16,48 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Clients that each ask for one thing after the other and never pause: a closed loop. */
-final class Load {
-  private static final long LONGEST_US = TimeUnit.MINUTES.toMicros(1);
-  private static final int DIGITS = 3;
+/** Closed-loop load: each client sends its next request as soon as it has a response. */
+final class LoadGenerator {
+  private static final long MAX_RECORDED_US = TimeUnit.MINUTES.toMicros(1);
+  private static final int SIGNIFICANT_DIGITS = 3;
 
-  /** What was seen while it was counted: times in microseconds, and answers that were no 200. */
-  record Seen(Histogram timesUs, long failed, double seconds) {}
+  /** Results while counting: times in microseconds; non-2xx responses and closed connections. */
+  record Result(Histogram timesUs, long failed, double seconds) {}
 
   private final EventLoopGroup loops;
   private final InetSocketAddress to;
   private final double remainingS;
-  private final AtomicLong numbers = new AtomicLong();
-  private final Histogram times = new ConcurrentHistogram(LONGEST_US, DIGITS);
+  private final AtomicLong nextNumber = new AtomicLong();
+  private final Histogram times = new ConcurrentHistogram(MAX_RECORDED_US, SIGNIFICANT_DIGITS);
   private final AtomicLong failed = new AtomicLong();
   private final List<Channel> channels = new ArrayList<>();
   private volatile boolean counting;
-  private volatile boolean over;
+  private volatile boolean finished;
 
-  Load(EventLoopGroup loops, InetSocketAddress to, double remainingS) {
+  LoadGenerator(EventLoopGroup loops, InetSocketAddress to, double remainingS) {
     this.loops = loops;
     this.to = to;
     this.remainingS = remainingS;
   }
 
-  /** Loads for {@code leadS} seconds uncounted, and then for {@code seconds}. */
-  Seen run(int clients, double leadS, double seconds, Runnable begins) throws InterruptedException {
+  /** Runs for {@code leadS} seconds without counting, and then counts for {@code seconds}. */
+  Result run(int clients, double leadS, double seconds, Runnable onCountingStart)
+      throws InterruptedException {
     for (int i = 0; i < clients; i++) {
       channels.add(connect());
     }
     sleep(leadS);
-    begins.run();
+    onCountingStart.run();
     counting = true;
     long from = System.nanoTime();
     sleep(seconds);
     counting = false;
-    double took = (System.nanoTime() - from) / 1e9;
-    over = true;
+    double elapsedS = (System.nanoTime() - from) / 1e9;
+    finished = true;
     for (Channel channel : channels) {
       channel.close().awaitUninterruptibly();
     }
-    return new Seen(times, failed.get(), took);
+    return new Result(times, failed.get(), elapsedS);
   }
 
   private static void sleep(double seconds) throws InterruptedException {
@@ -80,51 +81,52 @@
   }
 
   private final class Client extends ChannelInboundHandlerAdapter {
-    private static final int STATUS_AT = 9;
+    private static final int STATUS_OFFSET = 9;
 
-    private long askedAt;
-    private boolean begun;
-    private boolean good;
+    private long sentAtNanos;
+    private boolean responseStarted;
+    private boolean isSuccess;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      ask(ctx);
+      sendRequest(ctx);
     }
 
-    private void ask(ChannelHandlerContext ctx) {
-      begun = false;
-      askedAt = System.nanoTime();
-      ctx.writeAndFlush(Messages.request(numbers.getAndIncrement(), remainingS), ctx.voidPromise());
+    private void sendRequest(ChannelHandlerContext ctx) {
+      responseStarted = false;
+      sentAtNanos = System.nanoTime();
+      ctx.writeAndFlush(
+          Messages.request(nextNumber.getAndIncrement(), remainingS), ctx.voidPromise());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       ByteBuf bytes = (ByteBuf) message;
-      if (!begun) {
-        begun = true;
-        good = bytes.readableBytes() > STATUS_AT && bytes.getByte(STATUS_AT) == '2';
+      if (!responseStarted) {
+        responseStarted = true;
+        isSuccess = bytes.readableBytes() > STATUS_OFFSET && bytes.getByte(STATUS_OFFSET) == '2';
       }
-      // An answer in the gateway's own words ends in a line.
-      boolean ownWords = !good && bytes.getByte(bytes.writerIndex() - 1) == '\n';
-      if (!Messages.ends(message) && !ownWords) {
+      // A response that the gateway itself generates ends in a newline.
+      boolean fromGateway = !isSuccess && bytes.getByte(bytes.writerIndex() - 1) == '\n';
+      if (!Messages.endsMessage(message) && !fromGateway) {
         return;
       }
       if (counting) {
-        if (good) {
-          long us = (System.nanoTime() - askedAt) / 1_000;
-          times.recordValue(Math.min(us, LONGEST_US));
+        if (isSuccess) {
+          long us = (System.nanoTime() - sentAtNanos) / 1_000;
+          times.recordValue(Math.min(us, MAX_RECORDED_US));
         } else {
           failed.incrementAndGet();
         }
       }
-      if (!over) {
-        ask(ctx);
+      if (!finished) {
+        sendRequest(ctx);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      if (!over) {
+      if (!finished) {
         failed.incrementAndGet();
         connect();
       }
--- a/src/main/java/hazelspoke/bench/Subject.java
+++ b/src/main/java/hazelspoke/bench/MeasuredProcess.java
@@ -11,20 +11,18 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/**
- * A process that is measured: the gateway or the relay, held to one core where that can be done.
- */
-final class Subject implements AutoCloseable {
-  private static final long START_S = 30;
-  private static final long END_S = 20;
-  private static final long STEP_MS = 20;
+/** A measured process, gateway or relay, pinned to one core where possible. */
+final class MeasuredProcess implements AutoCloseable {
+  private static final long START_TIMEOUT_S = 30;
+  private static final long SHUTDOWN_TIMEOUT_S = 20;
+  private static final long POLL_INTERVAL_MS = 20;
 
   private final String name;
   private final Process process;
   private final GcLog gc;
   private final InetSocketAddress address;
 
-  private Subject(String name, Process process, GcLog gc, InetSocketAddress address) {
+  private MeasuredProcess(String name, Process process, GcLog gc, InetSocketAddress address) {
     this.name = name;
     this.process = process;
     this.gc = gc;
@@ -35,14 +33,14 @@
    * Starts {@code java} with these arguments and waits until it listens.
    *
    * @param port the port it will listen at
-   * @throws IOException when it does not come up; its log says why
+   * @throws IOException if it does not start; the message contains its log
    */
-  static Subject start(
+  static MeasuredProcess start(
       String name, Pinning pinning, Path home, Path folder, List<String> arguments, int port)
       throws IOException, InterruptedException {
     Path gcFile = folder.resolve(name + ".gc");
     Path log = folder.resolve(name + ".log");
-    List<String> command = new ArrayList<>(pinning.ofSubject());
+    List<String> command = new ArrayList<>(pinning.commandPrefix());
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.add("-Xlog:gc:file=" + gcFile);
     command.addAll(arguments);
@@ -53,18 +51,18 @@
     builder.redirectErrorStream(true).redirectOutput(log.toFile());
     Process process = builder.start();
     InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_S);
-    while (!listens(address)) {
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_S);
+    while (!isListening(address)) {
       if (!process.isAlive() || System.nanoTime() > end) {
         process.destroyForcibly();
-        throw new IOException("the " + name + " does not come up: " + Files.readString(log));
+        throw new IOException("the " + name + " does not start: " + Files.readString(log));
       }
-      TimeUnit.MILLISECONDS.sleep(STEP_MS);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
     }
-    return new Subject(name, process, new GcLog(gcFile), address);
+    return new MeasuredProcess(name, process, new GcLog(gcFile), address);
   }
 
-  private static boolean listens(InetSocketAddress address) {
+  private static boolean isListening(InetSocketAddress address) {
     try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       return socket.isConnected();
     } catch (IOException e) {
@@ -84,17 +82,17 @@
     return gc;
   }
 
-  /** CPU time used so far, in seconds, by all threads; the system counts in steps of 10 ms. */
+  /** Returns the CPU seconds of all threads so far; the system counts in steps of 10 ms. */
   double cpuS() {
     return process.info().totalCpuDuration().orElse(Duration.ZERO).toNanos() / 1e9;
   }
 
   @Override
   public void close() {
-    // By SIGTERM first, as a recording is written at the end.
+    // SIGTERM first, as a flight recording is written on exit.
     process.destroy();
     try {
-      if (!process.waitFor(END_S, TimeUnit.SECONDS)) {
+      if (!process.waitFor(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS)) {
         process.destroyForcibly().waitFor();
       }
     } catch (InterruptedException e) {
--- a/src/main/java/hazelspoke/bench/Messages.java
+++ b/src/main/java/hazelspoke/bench/Messages.java
@@ -6,16 +6,16 @@
 
 /**
  * The messages that clients and hosts of the benchmark exchange. Each ends in a byte that occurs
- * nowhere else in it, so that neither side has to parse: what they cost is not what is measured.
+ * nowhere else in it, so that neither side has to parse and their cost stays out of the results.
  */
 final class Messages {
-  private static final char LAST = '!';
-  private static final String BODY = "-".repeat(199) + LAST;
+  private static final char END_MARKER = '!';
+  private static final String BODY = "-".repeat(199) + END_MARKER;
 
-  /** Ids are 32 hexadecimal digits long, as clients' are. */
-  private static final String ID = "%032x";
+  /** 32 hexadecimal digits, like the ids of real clients. */
+  private static final String ID_FORMAT = "%032x";
 
-  private static final String KEYED =
+  private static final String REQUEST_TEMPLATE =
       """
       POST /reserve HTTP/1.1\r
       Host: bench\r
@@ -30,7 +30,7 @@
       \r
       %s""";
 
-  private static final ByteBuf ANSWER =
+  private static final ByteBuf RESPONSE =
       Unpooled.unreleasableBuffer(
           Unpooled.directBuffer()
               .writeBytes(
@@ -42,21 +42,21 @@
 
   private Messages() {}
 
-  /** A keyed request, the {@code number}th of all, whose client waits for so many seconds. */
+  /** Returns request {@code number}, with an idempotency key and a deadline in seconds. */
   static ByteBuf request(long number, double remainingS) {
-    String id = ID.formatted(number);
+    String id = ID_FORMAT.formatted(number);
     return Unpooled.wrappedBuffer(
-        ascii(KEYED.formatted(id, number % 1_000, remainingS, id, BODY.length(), BODY)));
+        ascii(REQUEST_TEMPLATE.formatted(id, number % 1_000, remainingS, id, BODY.length(), BODY)));
   }
 
-  static ByteBuf answer() {
-    return ANSWER.duplicate();
+  static ByteBuf response() {
+    return RESPONSE.duplicate();
   }
 
-  /** Whether these bytes end a message; releases them. */
-  static boolean ends(Object message) {
+  /** Returns whether these bytes end a message, and releases them. */
+  static boolean endsMessage(Object message) {
     ByteBuf bytes = (ByteBuf) message;
-    boolean last = bytes.isReadable() && bytes.getByte(bytes.writerIndex() - 1) == LAST;
+    boolean last = bytes.isReadable() && bytes.getByte(bytes.writerIndex() - 1) == END_MARKER;
     bytes.release();
     return last;
   }
--- a/src/main/java/hazelspoke/bench/Pinning.java
+++ b/src/main/java/hazelspoke/bench/Pinning.java
@@ -5,25 +5,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Which core the measured process runs on: the last one, with clients and hosts on the others.
- * Where there are fewer than three cores, or no {@code taskset}, nothing is held to any.
+ * Pins the measured process to the last core, and clients and hosts to the others. Pins nothing on
+ * machines with fewer than three cores or without {@code taskset}.
  */
 final class Pinning {
-  private static final int FEWEST_CORES = 3;
+  private static final int MIN_CORES = 3;
 
   private final int cores;
-  private final boolean on;
+  private final boolean isPinned;
 
-  private Pinning(int cores, boolean on) {
+  private Pinning(int cores, boolean isPinned) {
     this.cores = cores;
-    this.on = on;
+    this.isPinned = isPinned;
   }
 
-  /** Holds this process to all cores but the last. */
+  /** Pins this process to all cores but the last. */
   static Pinning begin() throws InterruptedException {
     int cores = Runtime.getRuntime().availableProcessors();
-    boolean on = false;
-    if (cores >= FEWEST_CORES) {
+    boolean isPinned = false;
+    if (cores >= MIN_CORES) {
       try {
         Process taskset =
             new ProcessBuilder(
@@ -36,21 +36,21 @@
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        on = taskset.waitFor(10, TimeUnit.SECONDS) && taskset.exitValue() == 0;
+        isPinned = taskset.waitFor(10, TimeUnit.SECONDS) && taskset.exitValue() == 0;
       } catch (IOException e) {
-        on = false;
+        isPinned = false;
       }
     }
-    return new Pinning(cores, on);
+    return new Pinning(cores, isPinned);
   }
 
-  /** What is put before the command of a measured process. */
-  List<String> ofSubject() {
-    return on ? List.of("taskset", "-c", Integer.toString(cores - 1)) : List.of();
+  /** Returns the command prefix that pins a measured process. */
+  List<String> commandPrefix() {
+    return isPinned ? List.of("taskset", "-c", Integer.toString(cores - 1)) : List.of();
   }
 
-  String words() {
-    return on
+  String description() {
+    return isPinned
         ? "each on core " + (cores - 1) + " of " + cores + ", clients and hosts on the others"
         : "not held to any core: what they cost includes who else runs";
   }
--- a/src/main/java/hazelspoke/bench/Relay.java
+++ b/src/main/java/hazelspoke/bench/Relay.java
@@ -18,8 +18,9 @@
 import java.util.List;
 
 /**
- * The control: passes bytes on between a client and a host, one connection to one, and reads none
- * of them. It is what any gateway on this machine, in this language, has to spend on its sockets.
+ * The control of the benchmark: forwards bytes between a client and a host without parsing, with
+ * one host connection per client connection. Its cost is the minimum that socket I/O takes any
+ * gateway in this language on this machine.
  */
 public final class Relay {
   private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -30,7 +31,7 @@
     this.hosts = hosts;
   }
 
-  /** Starts one on loopback at this port, before these hosts; it runs until its process ends. */
+  /** Starts a relay to the hosts on this loopback port; it runs until the process ends. */
   public static void start(int port, List<Integer> hostPorts) {
     InetAddress loopback = InetAddress.getLoopbackAddress();
     Relay relay =
@@ -55,9 +56,9 @@
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
-            .handler(new Passing(client))
+            .handler(new ForwardingHandler(client))
             .connect(hosts.get(next++ % hosts.size()));
-    client.pipeline().addLast(new Passing(connecting.channel()));
+    client.pipeline().addLast(new ForwardingHandler(connecting.channel()));
     connecting.addListener(
         done -> {
           if (done.isSuccess()) {
@@ -68,10 +69,10 @@
         });
   }
 
-  private static final class Passing extends ChannelInboundHandlerAdapter {
+  private static final class ForwardingHandler extends ChannelInboundHandlerAdapter {
     private final Channel other;
 
-    Passing(Channel other) {
+    ForwardingHandler(Channel other) {
       this.other = other;
     }
 
--- a/src/main/java/hazelspoke/bench/RelayBench.java
+++ b/src/main/java/hazelspoke/bench/RelayBench.java
@@ -14,11 +14,11 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Plays gateway and relay in alternating rounds. */
+/** Measures gateway and relay in alternating rounds. */
 public final class RelayBench {
-  private static final int LOOPS = 2;
+  private static final int EVENT_LOOPS = 2;
   private static final double WARM_UP_S = 4;
-  private static final double LEAD_S = 0.5;
+  private static final double UNCOUNTED_LEAD_S = 0.5;
 
   private static final String CONFIG =
       """
@@ -35,17 +35,17 @@
       """;
 
   /**
-   * What is played.
+   * Parameters of a benchmark run.
    *
-   * @param hosts how many hosts the gateway chooses among
-   * @param clients how many clients ask without a pause
-   * @param rounds how often each is measured
-   * @param seconds how long each time
+   * @param hosts number of hosts behind the gateway
+   * @param clients number of closed-loop clients
+   * @param rounds number of rounds for each of the two
+   * @param seconds length of a round, in seconds
    * @param deadlineS how long clients wait, in seconds
-   * @param home the folder of the project, with deploy/balancer.toml
+   * @param home project folder, which contains deploy/balancer.toml
    * @param jar the gateway's jar, of this build or of another
-   * @param ownJar the relay's jar: this build's
-   * @param recording where Java's flight recorder writes what the gateway does, or null
+   * @param ownJar the relay's jar, always of this build
+   * @param recording file of the flight recording of the gateway, or null
    */
   public record Plan(
       int hosts,
@@ -67,13 +67,13 @@
   }
 
   /**
-   * Plays it all.
+   * Runs all rounds.
    *
-   * @throws IOException when one of the processes does not come up
+   * @throws IOException if one of the processes does not start
    */
   public Report run() throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("bench");
-    EventLoopGroup loops = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
+    EventLoopGroup loops = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
     try {
       return run(folder, loops);
     } finally {
@@ -88,7 +88,7 @@
 
   private Report run(Path folder, EventLoopGroup loops) throws IOException, InterruptedException {
     Pinning pinning = Pinning.begin();
-    QuickHosts hosts = new QuickHosts(loops, plan.hosts());
+    StubHosts hosts = new StubHosts(loops, plan.hosts());
     int gatewayPort = freePort();
     int relayPort = freePort();
     Files.writeString(
@@ -99,16 +99,16 @@
             hosts.list(),
             (long) (plan.deadlineS() * 1_000)));
     List<String> flags = RunFlags.read(plan.home().resolve("deploy/balancer.toml"));
-    try (Subject gateway =
-            Subject.start(
+    try (MeasuredProcess gateway =
+            MeasuredProcess.start(
                 "gateway",
                 pinning,
                 plan.home(),
                 folder,
-                with(recorded(flags), "-jar", plan.jar().toString(), "serve"),
+                with(withRecording(flags), "-jar", plan.jar().toString(), "serve"),
                 gatewayPort);
-        Subject relay =
-            Subject.start(
+        MeasuredProcess relay =
+            MeasuredProcess.start(
                 "relay",
                 pinning,
                 plan.home(),
@@ -124,44 +124,45 @@
                         .map(address -> Integer.toString(address.getPort()))
                         .collect(Collectors.joining(","))),
                 relayPort)) {
-      progress.println(plan.hosts() + " hosts, " + plan.clients() + " clients; " + pinning.words());
-      for (Subject subject : List.of(gateway, relay)) {
-        progress.println("warming up the " + subject.name());
-        new Load(loops, subject.address(), plan.deadlineS())
+      progress.println(
+          plan.hosts() + " hosts, " + plan.clients() + " clients; " + pinning.description());
+      for (MeasuredProcess process : List.of(gateway, relay)) {
+        progress.println("warming up the " + process.name());
+        new LoadGenerator(loops, process.address(), plan.deadlineS())
             .run(plan.clients(), WARM_UP_S, 0, () -> {});
       }
-      List<Round> ofGateway = new ArrayList<>();
-      List<Round> ofRelay = new ArrayList<>();
+      List<Round> gatewayRounds = new ArrayList<>();
+      List<Round> relayRounds = new ArrayList<>();
       for (int i = 1; i <= plan.rounds(); i++) {
-        ofGateway.add(round(gateway, loops, i));
-        ofRelay.add(round(relay, loops, i));
+        gatewayRounds.add(round(gateway, loops, i));
+        relayRounds.add(round(relay, loops, i));
       }
-      return new Report(plan, pinning.words(), ofGateway, ofRelay);
+      return new Report(plan, pinning.description(), gatewayRounds, relayRounds);
     }
   }
 
-  private Round round(Subject subject, EventLoopGroup loops, int number)
+  private Round round(MeasuredProcess process, EventLoopGroup loops, int number)
       throws IOException, InterruptedException {
-    double[] cpu = new double[1];
+    double[] cpuS = new double[1];
     int[] lines = new int[1];
-    Load.Seen seen =
-        new Load(loops, subject.address(), plan.deadlineS())
+    LoadGenerator.Result result =
+        new LoadGenerator(loops, process.address(), plan.deadlineS())
             .run(
                 plan.clients(),
-                LEAD_S,
+                UNCOUNTED_LEAD_S,
                 plan.seconds(),
                 () -> {
-                  cpu[0] = subject.cpuS();
-                  lines[0] = subject.gc().lines();
+                  cpuS[0] = process.cpuS();
+                  lines[0] = process.gc().lines();
                 });
-    double used = subject.cpuS() - cpu[0];
-    Round round = Round.of(seen, used, subject.gc().between(lines[0], subject.gc().lines()));
-    progress.println("round " + number + ": " + subject.name() + " " + round.words());
+    double usedCpuS = process.cpuS() - cpuS[0];
+    Round round = Round.of(result, usedCpuS, process.gc().between(lines[0], process.gc().lines()));
+    progress.println("round " + number + ": " + process.name() + " " + round.summary());
     return round;
   }
 
-  /** With the recorder; it needs more room than the flags leave for classes. */
-  private List<String> recorded(List<String> flags) {
+  /** Adds flight recording, and removes the metaspace limit, which is too low for it. */
+  private List<String> withRecording(List<String> flags) {
     if (plan.recording() == null) {
       return flags;
     }
--- a/src/main/java/hazelspoke/bench/Report.java
+++ b/src/main/java/hazelspoke/bench/Report.java
@@ -11,21 +11,21 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** The figures of all rounds: medians, from where to where they go, and the ratio of the two. */
+/** Metrics of all rounds: medians, ranges, and the ratio of gateway to relay. */
 public final class Report {
-  private record Figure(String key, String words, int digits, ToDoubleFunction<Round> of) {}
+  private record Metric(String key, String label, int digits, ToDoubleFunction<Round> value) {}
 
-  private static final List<Figure> FIGURES =
+  private static final List<Metric> METRICS =
       List.of(
-          new Figure("cpu_us", "CPU a request, us", 1, Round::cpuUs),
-          new Figure("per_second", "requests a second", 0, Round::perSecond),
-          new Figure("p50_ms", "p50, ms", 2, r -> r.p50Us() / 1e3),
-          new Figure("p99_ms", "p99, ms", 2, r -> r.p99Us() / 1e3),
-          new Figure("allocated_bytes", "allocated a request, bytes", 0, Round::allocatedBytes),
-          new Figure("collections", "collections a round", 0, Round::collections),
-          new Figure("full_collections", "of the whole heap", 0, Round::fullCollections),
-          new Figure("longest_pause_ms", "longest pause, ms", 1, Round::longestPauseMs),
-          new Figure("failed", "failed a round", 0, Round::failed));
+          new Metric("cpu_us", "CPU a request, us", 1, Round::cpuUs),
+          new Metric("per_second", "requests a second", 0, Round::perSecond),
+          new Metric("p50_ms", "p50, ms", 2, r -> r.p50Us() / 1e3),
+          new Metric("p99_ms", "p99, ms", 2, r -> r.p99Us() / 1e3),
+          new Metric("allocated_bytes", "allocated a request, bytes", 0, Round::allocatedBytes),
+          new Metric("collections", "collections a round", 0, Round::collections),
+          new Metric("full_collections", "of the whole heap", 0, Round::fullCollections),
+          new Metric("longest_pause_ms", "longest pause, ms", 1, Round::longestPauseMs),
+          new Metric("failed", "failed a round", 0, Round::failed));
 
   private final RelayBench.Plan plan;
   private final String pinning;
@@ -39,7 +39,7 @@
     this.relay = List.copyOf(relay);
   }
 
-  /** Prints the table. */
+  /** Prints a table of all metrics. */
   public void print(PrintStream out) {
     out.printf(
         Locale.ROOT,
@@ -50,27 +50,27 @@
         plan.seconds(),
         plan.deadlineS(),
         pinning);
-    out.printf("%-28s %22s %22s %7s%n", "median (least to most)", "gateway", "relay", "ratio");
-    for (Figure f : FIGURES) {
-      double g = median(gateway, f.of());
-      double r = median(relay, f.of());
+    out.printf("%-28s %22s %22s %7s%n", "median (min to max)", "gateway", "relay", "ratio");
+    for (Metric metric : METRICS) {
+      double g = median(gateway, metric.value());
+      double r = median(relay, metric.value());
       out.printf(
           "%-28s %22s %22s %7s%n",
-          f.words(),
-          spread(gateway, f),
-          spread(relay, f),
+          metric.label(),
+          spread(gateway, metric),
+          spread(relay, metric),
           r > 0 ? String.format(Locale.ROOT, "%.2f", g / r) : "-");
     }
   }
 
-  private static String spread(List<Round> rounds, Figure f) {
-    String form = "%." + f.digits() + "f";
+  private static String spread(List<Round> rounds, Metric metric) {
+    String format = "%." + metric.digits() + "f";
     return String.format(
         Locale.ROOT,
-        form + " (" + form + " to " + form + ")",
-        median(rounds, f.of()),
-        rounds.stream().mapToDouble(f.of()).min().orElse(0),
-        rounds.stream().mapToDouble(f.of()).max().orElse(0));
+        format + " (" + format + " to " + format + ")",
+        median(rounds, metric.value()),
+        rounds.stream().mapToDouble(metric.value()).min().orElse(0),
+        rounds.stream().mapToDouble(metric.value()).max().orElse(0));
   }
 
   static double median(List<Round> rounds, ToDoubleFunction<Round> of) {
@@ -93,10 +93,10 @@
       rounds(json, "gateway", gateway);
       rounds(json, "relay", relay);
       json.writeObjectFieldStart("ratio");
-      for (Figure f : FIGURES) {
-        double r = median(relay, f.of());
+      for (Metric metric : METRICS) {
+        double r = median(relay, metric.value());
         if (r > 0) {
-          json.writeNumberField(f.key(), median(gateway, f.of()) / r);
+          json.writeNumberField(metric.key(), median(gateway, metric.value()) / r);
         }
       }
       json.writeEndObject();
@@ -108,15 +108,15 @@
       throws IOException {
     json.writeObjectFieldStart(name);
     json.writeObjectFieldStart("median");
-    for (Figure f : FIGURES) {
-      json.writeNumberField(f.key(), median(rounds, f.of()));
+    for (Metric metric : METRICS) {
+      json.writeNumberField(metric.key(), median(rounds, metric.value()));
     }
     json.writeEndObject();
     json.writeArrayFieldStart("rounds");
     for (Round round : rounds) {
       json.writeStartObject();
-      for (Figure f : FIGURES) {
-        json.writeNumberField(f.key(), f.of().applyAsDouble(round));
+      for (Metric metric : METRICS) {
+        json.writeNumberField(metric.key(), metric.value().applyAsDouble(round));
       }
       json.writeEndObject();
     }
--- a/src/main/java/hazelspoke/bench/Round.java
+++ b/src/main/java/hazelspoke/bench/Round.java
@@ -2,10 +2,7 @@
 
 import java.util.Locale;
 
-/**
- * What one round of one of the two cost. Times are in microseconds, but for a pause of the
- * collector's in milliseconds.
- */
+/** Results of one round of the gateway or the relay. CPU time and bytes are per request. */
 record Round(
     long requests,
     long failed,
@@ -17,22 +14,22 @@
     int fullCollections,
     double longestPauseMs,
     double allocatedBytes) {
-  static Round of(Load.Seen seen, double cpuS, GcLog.Part gc) {
-    long requests = Math.max(1, seen.timesUs().getTotalCount());
+  static Round of(LoadGenerator.Result result, double cpuS, GcLog.Summary gc) {
+    long requests = Math.max(1, result.timesUs().getTotalCount());
     return new Round(
         requests,
-        seen.failed(),
-        requests / seen.seconds(),
+        result.failed(),
+        requests / result.seconds(),
         cpuS * 1e6 / requests,
-        seen.timesUs().getValueAtPercentile(50),
-        seen.timesUs().getValueAtPercentile(99),
+        result.timesUs().getValueAtPercentile(50),
+        result.timesUs().getValueAtPercentile(99),
         gc.collections(),
         gc.full(),
         gc.longestMs(),
         gc.allocatedBytes() / requests);
   }
 
-  String words() {
+  String summary() {
     return String.format(
         Locale.ROOT,
         "%.1f us a request, %.0f/s, p50 %.2f ms, p99 %.2f ms, %d failed",
--- a/src/main/java/hazelspoke/bench/RunFlags.java
+++ b/src/main/java/hazelspoke/bench/RunFlags.java
@@ -7,14 +7,14 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
-/** The flags that the deployment gives the gateway's JVM: those of {@code run}. */
+/** Reads the JVM flags of the gateway from the {@code run} command of the deployment file. */
 final class RunFlags {
   private RunFlags() {}
 
   /**
-   * Reads them from the deployment's file.
+   * Reads the flags from the deployment file.
    *
-   * @throws IOException when it cannot be read or {@code run} starts no jar
+   * @throws IOException if it cannot be read or {@code run} is no {@code java -jar} command
    */
   static List<String> read(Path file) throws IOException {
     TomlParseResult toml = Toml.parse(Files.readString(file));
@@ -23,7 +23,7 @@
     int java = words.indexOf("java");
     int jar = words.indexOf("-jar");
     if (java < 0 || jar < java) {
-      throw new IOException(file + ": run: this starts no jar: " + run);
+      throw new IOException(file + ": run: not a java -jar command: " + run);
     }
     return List.copyOf(words.subList(java + 1, jar));
   }
--- a/src/main/java/hazelspoke/bench/QuickHosts.java
+++ b/src/main/java/hazelspoke/bench/StubHosts.java
@@ -17,15 +17,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Hosts that answer at once, and the discovery that lists them. */
-final class QuickHosts {
+/** Stub hosts that respond immediately, and a discovery service that lists them. */
+final class StubHosts {
   private static final int BACKLOG = 1_024;
-  private static final long SIGN_OF_LIFE_S = 1;
+  private static final long KEEP_ALIVE_INTERVAL_S = 1;
 
   private final EventLoopGroup loops;
   private final List<InetSocketAddress> hosts = new ArrayList<>();
 
-  QuickHosts(EventLoopGroup loops, int count) {
+  StubHosts(EventLoopGroup loops, int count) {
     this.loops = loops;
     for (int i = 0; i < count; i++) {
       hosts.add(listen(Host::new));
@@ -36,7 +36,7 @@
     return hosts;
   }
 
-  /** Starts a discovery that knows these hosts. */
+  /** Starts a discovery service that lists these hosts. */
   InetSocketAddress discovery() {
     return listen(Discovery::new);
   }
@@ -60,7 +60,7 @@
             .localAddress();
   }
 
-  /** The list in discovery's form. */
+  /** Returns the host list in the JSON form of the discovery service. */
   String list() {
     StringBuilder out = new StringBuilder("{\"index\":1,\"snapshot\":true,\"endpoints\":[");
     for (int i = 0; i < hosts.size(); i++) {
@@ -78,8 +78,8 @@
   private static final class Host extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-      if (Messages.ends(message)) {
-        ctx.writeAndFlush(Messages.answer(), ctx.voidPromise());
+      if (Messages.endsMessage(message)) {
+        ctx.writeAndFlush(Messages.response(), ctx.voidPromise());
       }
     }
 
@@ -89,22 +89,22 @@
     }
   }
 
-  /** Tells its list to whoever asks, and then that it is alive. */
+  /** Sends the host list in response to the first request, then periodic keep-alive lines. */
   private final class Discovery extends ChannelInboundHandlerAdapter {
-    private boolean asked;
+    private boolean listSent;
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       ((ByteBuf) message).release();
-      if (!asked) {
-        asked = true;
+      if (!listSent) {
+        listSent = true;
         ctx.write(bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         ctx.writeAndFlush(chunk(list() + "\n"));
         ctx.executor()
             .scheduleAtFixedRate(
                 () -> ctx.writeAndFlush(chunk("\n")),
-                SIGN_OF_LIFE_S,
-                SIGN_OF_LIFE_S,
+                KEEP_ALIVE_INTERVAL_S,
+                KEEP_ALIVE_INTERVAL_S,
                 TimeUnit.SECONDS);
       }
     }
--- a/src/main/java/hazelspoke/bench/package-info.java
+++ b/src/main/java/hazelspoke/bench/package-info.java
@@ -1,8 +1,8 @@
 /**
- * What a gateway costs, held against a control in the same run: {@code bin/pumicetray bench}.
+ * Measures the cost of a gateway against a control in the same run: {@code bin/pumicetray bench}.
  *
- * <p>The gateway runs as a process of its own with the flags that the deployment's file gives it;
- * beside it runs a relay that only passes bytes on. The same clients and the same hosts, in this
- * process, load them in turn. Nothing here is on the way of {@code serve}.
+ * <p>The gateway runs in a process of its own with the JVM flags of the deployment file; a relay
+ * that only forwards bytes runs beside it. The same clients and hosts, in this process, load both
+ * in alternation. {@code serve} uses nothing of this package.
  */
 package hazelspoke.bench;
--- a/src/test/java/hazelspoke/bench/RelayTest.java
+++ b/src/test/java/hazelspoke/bench/RelayTest.java
@@ -11,23 +11,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The control does what it is taken for: every request through it is answered by a host. */
+/** The benchmark control has to forward every request to a host and return its response. */
 class RelayTest {
   @Test
-  void clientsAreAnsweredThroughIt() throws Exception {
+  void forwardsRequestsAndResponses() throws Exception {
     EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     try {
-      List<InetSocketAddress> hosts = new QuickHosts(loops, 2).hosts();
+      List<InetSocketAddress> hosts = new StubHosts(loops, 2).hosts();
       int port;
       try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
         port = free.getLocalPort();
       }
       Relay.start(port, hosts.stream().map(InetSocketAddress::getPort).toList());
-      Load.Seen seen =
-          new Load(loops, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1)
+      LoadGenerator.Result result =
+          new LoadGenerator(loops, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1)
               .run(3, 0.1, 0.5, () -> {});
-      assertThat(seen.timesUs().getTotalCount()).isGreaterThan(3);
-      assertThat(seen.failed()).isZero();
+      assertThat(result.timesUs().getTotalCount()).isGreaterThan(3);
+      assertThat(result.failed()).isZero();
     } finally {
       loops.shutdownGracefully();
     }
