--- a/src/main/java/hazelspoke/bench/scale/ListScale.java
+++ b/src/main/java/hazelspoke/bench/scale/ListScale.java
@@ -121,36 +121,36 @@
     byte[] change = line(false, 2, 0, 1, "Terminating");
     metrics.add("a whole list, KB", SIZE_UNIT, hosts, whole.length / 1e3);
     metrics.add("a change of one host, B", SIZE_UNIT, hosts, change.length);
-    List<Double> readWhole = new ArrayList<>();
-    List<Double> applyWhole = new ArrayList<>();
-    List<Double> changed = new ArrayList<>();
+    List<Double> readWholeMs = new ArrayList<>();
+    List<Double> applyWholeMs = new ArrayList<>();
+    List<Double> changeUs = new ArrayList<>();
     LcStarBalancer module = module(3, 1, 1);
     for (int i = 0; i < REPETITIONS; i++) {
       long beginNanos = THREADS.getCurrentThreadCpuTime();
       HostList.Update update = read(whole);
-      long between = THREADS.getCurrentThreadCpuTime();
+      long readNanos = THREADS.getCurrentThreadCpuTime();
       module.onMembers(i, toMembersUpdate(update));
-      long applied = THREADS.getCurrentThreadCpuTime();
+      long appliedNanos = THREADS.getCurrentThreadCpuTime();
       module.onMembers(i, toMembersUpdate(read(change)));
-      long done = THREADS.getCurrentThreadCpuTime();
+      long endNanos = THREADS.getCurrentThreadCpuTime();
       if (i >= REPETITIONS / 2) {
-        readWhole.add((between - beginNanos) / 1e6);
-        applyWhole.add((applied - between) / 1e6);
-        changed.add((done - applied) / 1e3);
+        readWholeMs.add((readNanos - beginNanos) / 1e6);
+        applyWholeMs.add((appliedNanos - readNanos) / 1e6);
+        changeUs.add((endNanos - appliedNanos) / 1e3);
       }
     }
     metrics.add(
         "reading a whole list, ms of the loop",
         SIZE_UNIT,
         hosts,
-        LinearFit.quantile(readWhole, 0.5));
+        LinearFit.quantile(readWholeMs, 0.5));
     metrics.add(
         "taking a whole list, ms of the loop",
         SIZE_UNIT,
         hosts,
-        LinearFit.quantile(applyWhole, 0.5));
+        LinearFit.quantile(applyWholeMs, 0.5));
     metrics.add(
-        "reading and taking a change, us", SIZE_UNIT, hosts, LinearFit.quantile(changed, 0.5));
+        "reading and taking a change, us", SIZE_UNIT, hosts, LinearFit.quantile(changeUs, 0.5));
     module.close();
   }
 
--- a/src/main/java/hazelspoke/bench/scale/RecordScale.java
+++ b/src/main/java/hazelspoke/bench/scale/RecordScale.java
@@ -181,17 +181,17 @@
   private void measureStart(NonVoterFleet fleet, List<VoterProcess> voters, int members)
       throws IOException, InterruptedException {
     State before = state(fleet, voters);
-    long from = System.nanoTime();
+    long fromNanos = System.nanoTime();
     fleet.open(VOTERS);
-    double opened = (System.nanoTime() - from) / 1e6;
-    List<Double> joined = fleet.await(FleetNode::hasJoined, from, TIMEOUT_MS);
+    double openedMs = (System.nanoTime() - fromNanos) / 1e6;
+    List<Double> joinDelaysMs = fleet.await(FleetNode::hasJoined, fromNanos, TIMEOUT_MS);
     State after = state(fleet, voters);
     progress.printf(
         "%d members: opened in %.0f ms, %d of %d joined within %.0f ms%n",
-        members, opened, joined.size(), fleet.size(), LinearFit.quantile(joined, 1));
-    add("all start: opened, ms", members, opened);
-    add("all start: not joined after 60 s", members, fleet.size() - joined.size());
-    add("all start: the last has joined, ms", members, LinearFit.quantile(joined, 1));
+        members, openedMs, joinDelaysMs.size(), fleet.size(), LinearFit.quantile(joinDelaysMs, 1));
+    add("all start: opened, ms", members, openedMs);
+    add("all start: not joined after 60 s", members, fleet.size() - joinDelaysMs.size());
+    add("all start: the last has joined, ms", members, LinearFit.quantile(joinDelaysMs, 1));
     add(
         "all start: leader's processor time, ms",
         members,
@@ -208,14 +208,15 @@
       throws IOException, InterruptedException {
     TimeUnit.SECONDS.sleep(3);
     State before = state(fleet, voters);
-    long from = System.nanoTime();
+    long fromNanos = System.nanoTime();
     TimeUnit.MILLISECONDS.sleep((long) (idleS * 1e3));
     State after = state(fleet, voters);
-    double seconds = (System.nanoTime() - from) / 1e9;
-    double leader = (after.leader.cpuNanos() - before.leader.cpuNanos()) / 1e7 / seconds;
-    double member = (after.membersCpuNanos - before.membersCpuNanos) / 1e7 / seconds / fleet.size();
-    add("idle: leader, % of a core", members, leader);
-    add("idle: a member, % of a core", members, member);
+    double seconds = (System.nanoTime() - fromNanos) / 1e9;
+    double leaderPercent = (after.leader.cpuNanos() - before.leader.cpuNanos()) / 1e7 / seconds;
+    double memberPercent =
+        (after.membersCpuNanos - before.membersCpuNanos) / 1e7 / seconds / fleet.size();
+    add("idle: leader, % of a core", members, leaderPercent);
+    add("idle: a member, % of a core", members, memberPercent);
     add(
         "idle: leader sends, KB/s",
         members,
@@ -240,26 +241,26 @@
   private void measureChanges(
       OperatorConnection client, NonVoterFleet fleet, List<VoterProcess> voters, int members)
       throws IOException, InterruptedException {
-    List<Double> took = new ArrayList<>();
-    List<Double> last = new ArrayList<>();
+    List<Double> delaysMs = new ArrayList<>();
+    List<Double> maxDelaysMs = new ArrayList<>();
     State before = state(fleet, voters);
-    long begun = System.nanoTime();
+    long beginNanos = System.nanoTime();
     int missed = 0;
     for (int i = 0; i < CHANGES; i++) {
       long index = client.write("n" + i).number();
-      long from = System.nanoTime();
-      List<Double> each = fleet.await(n -> n.index() >= index, from, CHANGE_TIMEOUT_MS);
+      long fromNanos = System.nanoTime();
+      List<Double> each = fleet.await(n -> n.index() >= index, fromNanos, CHANGE_TIMEOUT_MS);
       missed += fleet.size() - each.size();
-      took.addAll(each);
-      last.add(LinearFit.quantile(each, 1));
+      delaysMs.addAll(each);
+      maxDelaysMs.add(LinearFit.quantile(each, 1));
       TimeUnit.MILLISECONDS.sleep(CHANGE_INTERVAL_MS);
     }
     State after = state(fleet, voters);
-    double seconds = (System.nanoTime() - begun) / 1e9;
-    add("a change: p50 of members know, ms", members, LinearFit.quantile(took, 0.5));
-    add("a change: p99 of members know, ms", members, LinearFit.quantile(took, 0.99));
-    add("a change: the last knows, median, ms", members, LinearFit.quantile(last, 0.5));
-    add("a change: the last knows, worst of 20, ms", members, LinearFit.quantile(last, 1));
+    double seconds = (System.nanoTime() - beginNanos) / 1e9;
+    add("a change: p50 of members know, ms", members, LinearFit.quantile(delaysMs, 0.5));
+    add("a change: p99 of members know, ms", members, LinearFit.quantile(delaysMs, 0.99));
+    add("a change: the last knows, median, ms", members, LinearFit.quantile(maxDelaysMs, 0.5));
+    add("a change: the last knows, worst of 20, ms", members, LinearFit.quantile(maxDelaysMs, 1));
     add("a change: members that never knew", members, missed);
     add(
         "changes: leader's processor time each with idle, ms",
@@ -284,18 +285,18 @@
       OperatorConnection client, NonVoterFleet fleet, List<VoterProcess> voters, int members)
       throws IOException, InterruptedException {
     State before = state(fleet, voters);
-    long begun = System.nanoTime();
+    long beginNanos = System.nanoTime();
     long index = 0;
     for (int i = 0; i < BURST_CHANGES; i++) {
       index = client.write("n" + i).number();
     }
     long to = index;
-    double written = (System.nanoTime() - begun) / 1e6;
-    long from = System.nanoTime();
-    List<Double> took = fleet.await(n -> n.index() >= to, from, TIMEOUT_MS);
+    double writtenMs = (System.nanoTime() - beginNanos) / 1e6;
+    long fromNanos = System.nanoTime();
+    List<Double> delaysMs = fleet.await(n -> n.index() >= to, fromNanos, TIMEOUT_MS);
     State after = state(fleet, voters);
-    add("burst of 50: written in, ms", members, written);
-    add("burst of 50: the last knows all, ms", members, LinearFit.quantile(took, 1));
+    add("burst of 50: written in, ms", members, writtenMs);
+    add("burst of 50: the last knows all, ms", members, LinearFit.quantile(delaysMs, 1));
     add(
         "burst of 50: leader's processor time, ms",
         members,
@@ -312,25 +313,34 @@
       OperatorConnection client, NonVoterFleet fleet, List<VoterProcess> voters, int members)
       throws IOException, InterruptedException {
     State before = state(fleet, voters);
-    int lost = members / 3;
-    fleet.closeLast(lost);
+    int closedMembers = members / 3;
+    fleet.closeLast(closedMembers);
     TimeUnit.SECONDS.sleep(1);
-    long from = System.nanoTime();
-    fleet.open(members - lost);
+    long fromNanos = System.nanoTime();
+    fleet.open(members - closedMembers);
     long index = client.write("n0").number();
-    long written = System.nanoTime();
-    List<Double> knew = fleet.await(n -> n.index() >= index, written, TIMEOUT_MS);
-    List<Double> back = fleet.await(FleetNode::hasJoined, from, TIMEOUT_MS);
+    long writtenNanos = System.nanoTime();
+    List<Double> changeDelaysMs = fleet.await(n -> n.index() >= index, writtenNanos, TIMEOUT_MS);
+    List<Double> joinDelaysMs = fleet.await(FleetNode::hasJoined, fromNanos, TIMEOUT_MS);
     State after = state(fleet, voters);
     progress.printf(
         "%d members: a third restarted, %d joined within %.0f ms, a change received within %.0f ms%n",
-        members, back.size(), LinearFit.quantile(back, 1), LinearFit.quantile(knew, 1));
-    add("a third comes back: the last has joined, ms", members, LinearFit.quantile(back, 1));
+        members,
+        joinDelaysMs.size(),
+        LinearFit.quantile(joinDelaysMs, 1),
+        LinearFit.quantile(changeDelaysMs, 1));
+    add(
+        "a third comes back: the last has joined, ms",
+        members,
+        LinearFit.quantile(joinDelaysMs, 1));
     add(
         "a third comes back: a change, p99 of members know, ms",
         members,
-        LinearFit.quantile(knew, 0.99));
-    add("a third comes back: a change, the last knows, ms", members, LinearFit.quantile(knew, 1));
+        LinearFit.quantile(changeDelaysMs, 0.99));
+    add(
+        "a third comes back: a change, the last knows, ms",
+        members,
+        LinearFit.quantile(changeDelaysMs, 1));
     add(
         "a third comes back: leader's processor time, ms",
         members,
--- a/src/main/java/hazelspoke/bench/scale/StateScale.java
+++ b/src/main/java/hazelspoke/bench/scale/StateScale.java
@@ -53,23 +53,26 @@
     }
   }
 
-  private void measure(String what, int members, FleetRecord record) throws MalformedException {
+  private void measure(String description, int members, FleetRecord record)
+      throws MalformedException {
     byte[] bytes = record.bytes();
-    metrics.add("state of " + what + ", KB", "members", members, bytes.length / 1e3);
-    List<Double> write = new ArrayList<>();
-    List<Double> read = new ArrayList<>();
+    metrics.add("state of " + description + ", KB", "members", members, bytes.length / 1e3);
+    List<Double> writeMs = new ArrayList<>();
+    List<Double> readMs = new ArrayList<>();
     for (int i = 0; i < REPETITIONS; i++) {
-      long begun = THREADS.getCurrentThreadCpuTime();
+      long beginNanos = THREADS.getCurrentThreadCpuTime();
       byte[] written = record.bytes();
-      long between = THREADS.getCurrentThreadCpuTime();
+      long writtenNanos = THREADS.getCurrentThreadCpuTime();
       FleetRecord.read(written);
-      long done = THREADS.getCurrentThreadCpuTime();
+      long endNanos = THREADS.getCurrentThreadCpuTime();
       if (i >= REPETITIONS / 2) {
-        write.add((between - begun) / 1e6);
-        read.add((done - between) / 1e6);
+        writeMs.add((writtenNanos - beginNanos) / 1e6);
+        readMs.add((endNanos - writtenNanos) / 1e6);
       }
     }
-    metrics.add("writing " + what + ", ms", "members", members, LinearFit.quantile(write, 0.5));
-    metrics.add("reading " + what + ", ms", "members", members, LinearFit.quantile(read, 0.5));
+    metrics.add(
+        "writing " + description + ", ms", "members", members, LinearFit.quantile(writeMs, 0.5));
+    metrics.add(
+        "reading " + description + ", ms", "members", members, LinearFit.quantile(readMs, 0.5));
   }
 }
