--- a/src/main/java/hazelspoke/emulator/run/Faults.java
+++ b/src/main/java/hazelspoke/emulator/run/Faults.java
@@ -13,7 +13,7 @@
 
 /** Injects the script's faults at their scheduled times, on the emulator's event loop. */
 final class Faults {
-  private final EmulatorLoop stage;
+  private final EmulatorLoop emulatorLoop;
   private final World world;
   private final Fleet fleet;
   private final Gateways gateways;
@@ -23,7 +23,7 @@
   private final Consumer<String> progress;
 
   Faults(
-      EmulatorLoop stage,
+      EmulatorLoop emulatorLoop,
       World world,
       Fleet fleet,
       Gateways gateways,
@@ -31,11 +31,11 @@
       Discovery discovery,
       Registry registry,
       Consumer<String> progress) {
-    this.stage = stage;
+    this.emulatorLoop = emulatorLoop;
     this.world = world;
     this.fleet = fleet;
     this.gateways = gateways;
-    this.links = new LinkFaults(stage, links);
+    this.links = new LinkFaults(emulatorLoop, links);
     this.discovery = discovery;
     this.registry = registry;
     this.progress = progress;
@@ -47,14 +47,14 @@
     for (int i = 0; i < faults.size(); i++) {
       Fault fault = faults.get(i);
       List<String> affected = world.affected().get(i);
-      stage.at(
+      emulatorLoop.at(
           base + fault.atMs(),
           () -> {
             progress.accept(describe(fault, affected));
             begin(fault, affected, base);
           });
       if (fault.kind().lasts()) {
-        stage.at(base + fault.endMs(), () -> end(fault, affected));
+        emulatorLoop.at(base + fault.endMs(), () -> end(fault, affected));
       }
     }
   }
@@ -103,7 +103,7 @@
   }
 
   private void begin(Fault fault, StockHost host, double base) {
-    double now = stage.now();
+    double now = emulatorLoop.now();
     switch (fault.kind()) {
       case CRASH -> fleet.crash(host);
       case HANG -> host.hang();
@@ -128,12 +128,12 @@
   }
 
   private void pause(Fault fault, StockHost host, double until) {
-    if (stage.now() >= until) {
+    if (emulatorLoop.now() >= until) {
       return;
     }
     host.hang();
-    stage.at(stage.now() + fault.factor(), host::resume);
-    stage.at(stage.now() + fault.every(), () -> pause(fault, host, until));
+    emulatorLoop.at(emulatorLoop.now() + fault.factor(), host::resume);
+    emulatorLoop.at(emulatorLoop.now() + fault.every(), () -> pause(fault, host, until));
   }
 
   private void begin(Fault fault, Gateways.GatewayProcess gateway) {
--- a/src/main/java/hazelspoke/emulator/run/Fleet.java
+++ b/src/main/java/hazelspoke/emulator/run/Fleet.java
@@ -30,7 +30,7 @@
   /** Time for which a gateway may keep sending after it was notified of a drain. */
   private static final double DRAIN_GRACE_MS = 1_000;
 
-  private final EmulatorLoop stage;
+  private final EmulatorLoop emulatorLoop;
   private final Script script;
   private final Registry registry;
   private final Map<String, StockHost> hosts = new LinkedHashMap<>();
@@ -38,14 +38,14 @@
   private int replaced;
 
   Fleet(
-      EmulatorLoop stage,
+      EmulatorLoop emulatorLoop,
       World world,
       Ledger ledger,
       Registry registry,
       Links links,
       HostProcesses apart)
       throws IOException {
-    this.stage = stage;
+    this.emulatorLoop = emulatorLoop;
     this.script = world.script();
     this.registry = registry;
     Host.Rules rules = rules(world, ConfigFile.FALL_MULTIPLE);
@@ -58,11 +58,11 @@
       var address = Ports.free(HOST_NET, number++);
       StockHost host =
           script.fleet().apart().contains(spec.name())
-              ? apart.host(stage, spec, address, ledger)
+              ? apart.host(emulatorLoop, spec, address, ledger)
               : connected(
                   links,
                   new Host(
-                      stage,
+                      emulatorLoop,
                       spec,
                       address,
                       rules,
@@ -138,7 +138,9 @@
     if (!host.isUp() && !host.hasFailedFromOverload()) {
       host.start(true);
       announce(
-          host, entry(host, Status.READY, stage.unixMs(stage.now())), script.discovery().addMs());
+          host,
+          entry(host, Status.READY, emulatorLoop.unixMs(emulatorLoop.now())),
+          script.discovery().addMs());
     }
   }
 
@@ -151,8 +153,8 @@
       double noticeMs = script.discovery().noticeMs();
       Entry draining = entry(host, Status.TERMINATING, entries.get(host).sinceMs());
       announce(host, draining, noticeMs);
-      stage.at(
-          stage.now() + noticeMs + DRAIN_GRACE_MS,
+      emulatorLoop.at(
+          emulatorLoop.now() + noticeMs + DRAIN_GRACE_MS,
           () -> {
             if (entries.get(host) == draining) {
               host.drain();
@@ -185,7 +187,7 @@
 
   private void announce(StockHost host, Entry entry, double afterMs) {
     entries.put(host, entry);
-    registry.announce(entry, stage.now(), afterMs);
+    registry.announce(entry, emulatorLoop.now(), afterMs);
   }
 
   private Entry entry(StockHost host, Status status, long sinceMs) {
--- a/src/main/java/hazelspoke/emulator/run/Gateways.java
+++ b/src/main/java/hazelspoke/emulator/run/Gateways.java
@@ -61,7 +61,7 @@
   private static final int OPERATOR_TIMEOUT_MS = 2_000;
   private static final int VOTER_TIMEOUT_MS = 10_000;
 
-  private final EmulatorLoop stage;
+  private final EmulatorLoop emulatorLoop;
   private final World world;
   private final Ledger ledger;
   private final Registry registry;
@@ -108,7 +108,7 @@
   }
 
   Gateways(
-      EmulatorLoop stage,
+      EmulatorLoop emulatorLoop,
       World world,
       Ledger ledger,
       Registry registry,
@@ -117,7 +117,7 @@
       GatewayLauncher launcher,
       Path folder)
       throws IOException {
-    this.stage = stage;
+    this.emulatorLoop = emulatorLoop;
     this.world = world;
     this.ledger = ledger;
     this.registry = registry;
@@ -163,7 +163,7 @@
   /** Starts all gateways at once and returns when every one is ready. */
   void start() throws IOException, InterruptedException {
     for (GatewayProcess gateway : gateways) {
-      stage.loop().submit(() -> writeConfig(gateway)).syncUninterruptibly();
+      emulatorLoop.loop().submit(() -> writeConfig(gateway)).syncUninterruptibly();
       launch(gateway);
     }
     for (GatewayProcess gateway : gateways) {
@@ -174,7 +174,7 @@
                 + " was not ready within 30 s; its log: "
                 + tail(gateway.log));
       }
-      stage.loop().execute(() -> gateway.endpoint.setInRotation(true));
+      emulatorLoop.loop().execute(() -> gateway.endpoint.setInRotation(true));
     }
   }
 
@@ -203,7 +203,7 @@
       Files.writeString(fresh, text);
       Files.move(fresh, gateway.config, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
-      stage.fail("a configuration cannot be written", e);
+      emulatorLoop.fail("a configuration cannot be written", e);
     }
   }
 
@@ -268,7 +268,9 @@
   void term(GatewayProcess gateway) {
     gateway.expectedUp = false;
     signal(gateway, Signal.TERM);
-    stage.at(stage.now() + SIGTERM_ROTATION_DELAY_MS, () -> gateway.endpoint.setInRotation(false));
+    emulatorLoop.at(
+        emulatorLoop.now() + SIGTERM_ROTATION_DELAY_MS,
+        () -> gateway.endpoint.setInRotation(false));
   }
 
   /** Makes every file write of the gateway fail. */
@@ -305,14 +307,14 @@
               operators.execute(() -> replaceVoter(gateway));
             }
             if (awaitReady(gateway)) {
-              stage.loop().execute(() -> markRestarted(gateway));
+              emulatorLoop.loop().execute(() -> markRestarted(gateway));
             } else if (!closing) {
-              stage.fail(
+              emulatorLoop.fail(
                   "a gateway was not ready after its restart; its log: " + tail(gateway.log),
                   new IOException());
             }
           } catch (IOException e) {
-            stage.fail("a gateway cannot be restarted", e);
+            emulatorLoop.fail("a gateway cannot be restarted", e);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
@@ -362,7 +364,7 @@
 
   private void markRestarted(GatewayProcess gateway) {
     gateway.expectedUp = true;
-    ledger.outage(gateway.endpoint.gateway(), gateway.downSince, stage.now());
+    ledger.outage(gateway.endpoint.gateway(), gateway.downSince, emulatorLoop.now());
     gateway.downSince = Double.NaN;
     discovery.gatewayRestarted(gateway.endpoint.gateway());
     gateway.endpoint.setInRotation(true);
@@ -410,9 +412,9 @@
   /** Sends SIGCONT. */
   void resume(GatewayProcess gateway) {
     signal(gateway, Signal.CONT);
-    ledger.outage(gateway.endpoint.gateway(), gateway.downSince, stage.now() + CATCH_UP_MS);
+    ledger.outage(gateway.endpoint.gateway(), gateway.downSince, emulatorLoop.now() + CATCH_UP_MS);
     gateway.downSince = Double.NaN;
-    stage.at(stage.now() + CATCH_UP_MS, () -> gateway.endpoint.setInRotation(true));
+    emulatorLoop.at(emulatorLoop.now() + CATCH_UP_MS, () -> gateway.endpoint.setInRotation(true));
   }
 
   void reload(GatewayProcess gateway) {
@@ -431,14 +433,14 @@
         writeConfig(gateway);
         signal(gateway, Signal.HUP);
       } catch (IOException e) {
-        stage.fail("discovery cannot move to a new address", e);
+        emulatorLoop.fail("discovery cannot move to a new address", e);
       }
     }
   }
 
   private void markDown(GatewayProcess gateway) {
     if (Double.isNaN(gateway.downSince)) {
-      gateway.downSince = stage.now();
+      gateway.downSince = emulatorLoop.now();
     }
   }
 
@@ -446,8 +448,8 @@
     double unit = SeededRandom.unit(world.seed(), gateway.endpoint.gateway(), gateway.outages++);
     double detectionMs = MIN_DETECTION_MS + unit * (MAX_DETECTION_MS - MIN_DETECTION_MS);
     double since = gateway.downSince;
-    stage.at(
-        stage.now() + detectionMs,
+    emulatorLoop.at(
+        emulatorLoop.now() + detectionMs,
         () -> {
           if (gateway.downSince == since) {
             gateway.endpoint.setInRotation(false);
--- a/src/main/java/hazelspoke/emulator/run/HostProcesses.java
+++ b/src/main/java/hazelspoke/emulator/run/HostProcesses.java
@@ -37,12 +37,13 @@
     this.seed = seed;
   }
 
-  StockHost host(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
-    return new HostProcess(stage, spec, address, ledger);
+  StockHost host(
+      EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
+    return new HostProcess(emulatorLoop, spec, address, ledger);
   }
 
   private final class HostProcess implements StockHost {
-    private final EmulatorLoop stage;
+    private final EmulatorLoop emulatorLoop;
     private final ServerSpec spec;
     private final InetSocketAddress address;
     private final Ledger ledger;
@@ -50,8 +51,9 @@
     private OsProcess osProcess;
     private int starts;
 
-    HostProcess(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
-      this.stage = stage;
+    HostProcess(
+        EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
+      this.emulatorLoop = emulatorLoop;
       this.spec = spec;
       this.address = address;
       this.ledger = ledger;
@@ -86,7 +88,7 @@
               "--listen",
               Ports.text(address),
               "--zero",
-              Long.toString(stage.originNanos())));
+              Long.toString(emulatorLoop.originNanos())));
       if (cold) {
         arguments.add("--cold");
       }
@@ -102,7 +104,7 @@
         reader.setDaemon(true);
         reader.start();
       } catch (IOException e) {
-        stage.fail(spec.name() + " cannot be started", e);
+        emulatorLoop.fail(spec.name() + " cannot be started", e);
       }
     }
 
@@ -113,7 +115,7 @@
         String line;
         while ((line = in.readLine()) != null) {
           String[] words = line.split(" ");
-          stage.loop().execute(() -> handleEvent(words, start));
+          emulatorLoop.loop().execute(() -> handleEvent(words, start));
         }
       } catch (IOException e) {
         // The process was killed.
@@ -145,7 +147,7 @@
       if (osProcess != null) {
         osProcess.signal(GatewayHandle.Signal.KILL);
         osProcess = null;
-        open.values().forEach(a -> a.end(AttemptEnd.RESET, stage.now()));
+        open.values().forEach(a -> a.end(AttemptEnd.RESET, emulatorLoop.now()));
         open.clear();
       }
     }
--- a/src/main/java/hazelspoke/emulator/run/LinkFaults.java
+++ b/src/main/java/hazelspoke/emulator/run/LinkFaults.java
@@ -14,15 +14,15 @@
 final class LinkFaults {
   private record ActiveFault(Fault fault, String link) {}
 
-  private final EmulatorLoop stage;
+  private final EmulatorLoop emulatorLoop;
   private final Links links;
   private final Map<ActiveFault, Runnable> undoActions = new HashMap<>();
 
   /**
    * @param links null if the script has no link faults
    */
-  LinkFaults(EmulatorLoop stage, Links links) {
-    this.stage = stage;
+  LinkFaults(EmulatorLoop emulatorLoop, Links links) {
+    this.emulatorLoop = emulatorLoop;
     this.links = links;
   }
 
@@ -54,7 +54,7 @@
   /** Applies and removes the impairment periodically until the fault undoActions. */
   private void repeat(
       Fault fault, Link link, double until, Supplier<Impairment> what, boolean resets) {
-    if (stage.now() >= until) {
+    if (emulatorLoop.now() >= until) {
       return;
     }
     Impairment impairment = what.get();
@@ -62,8 +62,10 @@
     if (resets) {
       link.reset();
     }
-    stage.at(Math.min(until, stage.now() + fault.factor()), () -> link.end(impairment));
-    stage.at(stage.now() + fault.every(), () -> repeat(fault, link, until, what, resets));
+    emulatorLoop.at(
+        Math.min(until, emulatorLoop.now() + fault.factor()), () -> link.end(impairment));
+    emulatorLoop.at(
+        emulatorLoop.now() + fault.every(), () -> repeat(fault, link, until, what, resets));
   }
 
   void end(Fault fault, String name) {
--- a/src/main/java/hazelspoke/emulator/run/Rehearsal.java
+++ b/src/main/java/hazelspoke/emulator/run/Rehearsal.java
@@ -58,7 +58,7 @@
   private final PrintStream progress;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EmulatorLoop stage = new EmulatorLoop(group.next());
+  private final EmulatorLoop emulatorLoop = new EmulatorLoop(group.next());
   private final Ledger ledger = new Ledger();
   private final Registry registry = new Registry();
   private final List<Clients> clients = new ArrayList<>();
@@ -115,15 +115,17 @@
     boolean sharesRecord = script.fleet().voters() > 0;
     if (sharesRecord
         || script.faults().stream().anyMatch(f -> f.kind().subject() == Fault.Subject.LINKS)) {
-      links = new Links(stage, world.gatewaySites().size());
+      links = new Links(emulatorLoop, world.gatewaySites().size());
     }
     Discovery discovery =
-        new Discovery(stage, ledger, registry, links, script.discovery(), ConfigFile.MUST_ASK_MS);
+        new Discovery(
+            emulatorLoop, ledger, registry, links, script.discovery(), ConfigFile.MUST_ASK_MS);
     try {
-      fleet = new Fleet(stage, world, ledger, registry, links, apart);
-      gateways = new Gateways(stage, world, ledger, registry, discovery, links, launcher, folder);
+      fleet = new Fleet(emulatorLoop, world, ledger, registry, links, apart);
+      gateways =
+          new Gateways(emulatorLoop, world, ledger, registry, discovery, links, launcher, folder);
       if (sharesRecord) {
-        stage
+        emulatorLoop
             .loop()
             .submit(
                 () -> {
@@ -159,7 +161,7 @@
                 script.fleet().operators(),
                 world.seed());
         record.start();
-        long zero = System.nanoTime() + (long) ((startMs - stage.now()) * 1e6);
+        long zero = System.nanoTime() + (long) ((startMs - emulatorLoop.now()) * 1e6);
         monitor = new RecordMonitor(gateways.all().stream().map(g -> g.record).toList(), zero);
       }
       await();
@@ -172,7 +174,7 @@
       onLoop(() -> clients.forEach(Clients::close));
       onLoop(() -> ledger.shift(-startMs));
       // Runs on the loop, as the lag monitor still updates its samples there.
-      return stage.loop().submit(this::results).syncUninterruptibly().getNow();
+      return emulatorLoop.loop().submit(this::results).syncUninterruptibly().getNow();
     } finally {
       if (monitor != null) {
         monitor.stop();
@@ -194,7 +196,7 @@
   }
 
   private void onLoop(Runnable task) {
-    stage.loop().submit(task).syncUninterruptibly();
+    emulatorLoop.loop().submit(task).syncUninterruptibly();
   }
 
   private void await() throws InterruptedException {
@@ -208,7 +210,7 @@
                 .max()
                 .orElse(0);
     try {
-      CompletableFuture.anyOf(allDone, stage.failure())
+      CompletableFuture.anyOf(allDone, emulatorLoop.failure())
           .get((long) (maxMs / MS_PER_S) + RUN_TIMEOUT_MARGIN_S, TimeUnit.SECONDS);
     } catch (ExecutionException e) {
       throw new IllegalStateException(e.getCause().getMessage(), e.getCause());
@@ -219,14 +221,14 @@
 
   /** Schedules the load, the faults and the sampling. */
   private void startLoad(Discovery discovery) {
-    startMs = stage.now() + START_DELAY_MS;
+    startMs = emulatorLoop.now() + START_DELAY_MS;
     for (int site = 0; site < script.fleet().sites().size(); site++) {
       int at = site;
       List<GatewayEndpoint> endpoints =
           gateways.all().stream().map(g -> g.endpoint).filter(s -> s.site() == at).toList();
       clients.add(
           new Clients(
-              stage,
+              emulatorLoop,
               script,
               world.seed(),
               ledger,
@@ -234,9 +236,9 @@
               script.fleet().sockets() / 3,
               this::ended));
     }
-    new Faults(stage, world, fleet, gateways, links, discovery, registry, this::note)
+    new Faults(emulatorLoop, world, fleet, gateways, links, discovery, registry, this::note)
         .schedule(startMs);
-    stage.monitorLag(loopLags::add);
+    emulatorLoop.monitorLag(loopLags::add);
     scheduleSample(0);
     scheduleProgress(1);
     startDueRequests();
@@ -246,9 +248,9 @@
   private void startDueRequests() {
     while (next < world.arrivals().size()) {
       Arrival arrival = world.arrivals().get(next).later(startMs);
-      double now = stage.now();
+      double now = emulatorLoop.now();
       if (arrival.atMs() > now) {
-        stage.at(arrival.atMs(), this::startDueRequests);
+        emulatorLoop.at(arrival.atMs(), this::startDueRequests);
         return;
       }
       next++;
@@ -256,7 +258,7 @@
       clients.get(arrival.site()).start(arrival);
     }
     if (world.arrivals().size() == 0) {
-      stage.at(startMs + script.lengthMs(), () -> allDone.complete(null));
+      emulatorLoop.at(startMs + script.lengthMs(), () -> allDone.complete(null));
     }
   }
 
@@ -270,13 +272,14 @@
     }
     if (outcomes.size() == world.arrivals().size()) {
       // Open attempts may still report their end, and the script runs for its full length.
-      double end = Math.max(startMs + script.lengthMs(), stage.now() + DEADLINE_SLACK_MS);
-      stage.at(end, () -> allDone.complete(null));
+      double end = Math.max(startMs + script.lengthMs(), emulatorLoop.now() + DEADLINE_SLACK_MS);
+      emulatorLoop.at(end, () -> allDone.complete(null));
     }
   }
 
   private void note(String what) {
-    progress.printf(Locale.ROOT, "%6.1f s  * %s%n", (stage.now() - startMs) / MS_PER_S, what);
+    progress.printf(
+        Locale.ROOT, "%6.1f s  * %s%n", (emulatorLoop.now() - startMs) / MS_PER_S, what);
   }
 
   private void scheduleProgress(int window) {
@@ -284,14 +287,14 @@
     if (at > startMs + script.lengthMs()) {
       return;
     }
-    stage.at(
+    emulatorLoop.at(
         at,
         () -> {
           int held = fleet.all().stream().mapToInt(h -> Math.max(0, h.heldRequests())).sum();
           progress.printf(
               Locale.ROOT,
               "%6.1f s  asked %d  served %d  refused %d  failed %d  at hosts %d%n",
-              (stage.now() - startMs) / MS_PER_S,
+              (emulatorLoop.now() - startMs) / MS_PER_S,
               next,
               served,
               refused,
@@ -305,7 +308,7 @@
     if (n * SAMPLE_INTERVAL_MS > script.lengthMs()) {
       return;
     }
-    stage.at(
+    emulatorLoop.at(
         startMs + n * SAMPLE_INTERVAL_MS,
         () -> {
           queues.add(
--- a/src/main/java/hazelspoke/emulator/run/StockServerProcess.java
+++ b/src/main/java/hazelspoke/emulator/run/StockServerProcess.java
@@ -38,8 +38,8 @@
             .findFirst()
             .orElseThrow(() -> new IllegalArgumentException("the script has no host " + name));
     EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    EmulatorLoop stage = new EmulatorLoop(loop, zero);
-    stage
+    EmulatorLoop emulatorLoop = new EmulatorLoop(loop, zero);
+    emulatorLoop
         .failure()
         .whenComplete(
             (none, failure) -> {
@@ -48,7 +48,7 @@
             });
     Host host =
         new Host(
-            stage,
+            emulatorLoop,
             spec,
             listen,
             // Whether a gateway knew of its start is unknown here, so overload never makes it fail.
@@ -57,7 +57,7 @@
             new LineSink(out));
     loop.execute(
         () -> {
-          stage.monitorLag(late -> {});
+          emulatorLoop.monitorLag(late -> {});
           host.start(cold);
         });
   }
