--- a/src/main/java/hazelspoke/emulator/run/Fleet.java
+++ b/src/main/java/hazelspoke/emulator/run/Fleet.java
@@ -35,7 +35,7 @@
   private final Registry registry;
   private final Map<String, StockHost> hosts = new LinkedHashMap<>();
   private final Map<StockHost, Entry> entries = new LinkedHashMap<>();
-  private int replaced;
+  private int replacements;
 
   Fleet(
       EmulatorLoop emulatorLoop,
@@ -43,7 +43,7 @@
       Ledger ledger,
       Registry registry,
       Links links,
-      HostProcesses apart)
+      HostProcesses hostProcesses)
       throws IOException {
     this.emulatorLoop = emulatorLoop;
     this.script = world.script();
@@ -58,7 +58,7 @@
       var address = Ports.free(HOST_NET, number++);
       StockHost host =
           script.fleet().apart().contains(spec.name())
-              ? apart.host(emulatorLoop, spec, address, ledger)
+              ? hostProcesses.host(emulatorLoop, spec, address, ledger)
               : connected(
                   links,
                   new Host(
@@ -176,7 +176,7 @@
     if (host.isUp()) {
       host.crash();
       announceRemoval(host, script.discovery().noticeMs());
-      host.rename(host.spec().name() + "-r" + ++replaced);
+      host.rename(host.spec().name() + "-r" + ++replacements);
       restart(host);
     }
   }
--- a/src/main/java/hazelspoke/emulator/run/Gateways.java
+++ b/src/main/java/hazelspoke/emulator/run/Gateways.java
@@ -77,7 +77,7 @@
             thread.setDaemon(true);
             return thread;
           });
-  private final AtomicInteger replaced = new AtomicInteger();
+  private final AtomicInteger replacedDisks = new AtomicInteger();
   private int moves;
   private volatile boolean closing;
 
@@ -97,7 +97,7 @@
     int starts;
 
     /** Listen address for the other gateways; null if the gateways share no record. */
-    InetSocketAddress record;
+    InetSocketAddress recordAddress;
 
     GatewayProcess(GatewayEndpoint endpoint, Path folder) {
       this.endpoint = endpoint;
@@ -140,8 +140,8 @@
   void shareRecord() throws IOException {
     List<InetSocketAddress> addresses = new ArrayList<>();
     for (GatewayProcess gateway : gateways) {
-      gateway.record = Ports.free(RECORD_NET, gateway.endpoint.gateway());
-      addresses.add(gateway.record);
+      gateway.recordAddress = Ports.free(RECORD_NET, gateway.endpoint.gateway());
+      addresses.add(gateway.recordAddress);
     }
     links.connectGateways(addresses);
     for (GatewayProcess gateway : gateways) {
@@ -330,10 +330,10 @@
    */
   private void replaceVoter(GatewayProcess gateway) {
     String name = "g" + (gateway.endpoint.gateway() + 1);
-    boolean votes = gateway.endpoint.gateway() < world.script().fleet().voters();
+    boolean isVoter = gateway.endpoint.gateway() < world.script().fleet().voters();
     boolean confirmed = false;
     for (int i = 0; !closing; i++) {
-      InetSocketAddress at = gateways.get(i % gateways.size()).record;
+      InetSocketAddress at = gateways.get(i % gateways.size()).recordAddress;
       try (OperatorClient client = new OperatorClient(at, RecordFile.FLEET)) {
         Command.Vouch command = new Command.Vouch(name);
         Command.Numbered confirmation =
@@ -341,8 +341,8 @@
         // Confirmed once only, as a second command would refer to the process that has started
         // since.
         confirmed = confirmed || client.command(confirmation, OPERATOR_TIMEOUT_MS).succeeded();
-        if (confirmed && (!votes || client.voter(true, name, VOTER_TIMEOUT_MS).succeeded())) {
-          replaced.incrementAndGet();
+        if (confirmed && (!isVoter || client.voter(true, name, VOTER_TIMEOUT_MS).succeeded())) {
+          replacedDisks.incrementAndGet();
           return;
         }
       } catch (IOException e) {
@@ -358,8 +358,8 @@
   }
 
   /** Returns the number of lost disks that were replaced and, if they voted, vote again. */
-  int replaced() {
-    return replaced.get();
+  int replacedDisks() {
+    return replacedDisks.get();
   }
 
   private void markRestarted(GatewayProcess gateway) {
--- a/src/main/java/hazelspoke/emulator/run/HostProcesses.java
+++ b/src/main/java/hazelspoke/emulator/run/HostProcesses.java
@@ -47,7 +47,7 @@
     private final ServerSpec spec;
     private final InetSocketAddress address;
     private final Ledger ledger;
-    private final Map<String, Attempt> open = new HashMap<>();
+    private final Map<String, Attempt> openAttempts = new HashMap<>();
     private OsProcess osProcess;
     private int starts;
 
@@ -126,7 +126,7 @@
     private void handleEvent(String[] words, int start) {
       String id = start + " " + words[1];
       if (words[0].equals("received")) {
-        open.put(
+        openAttempts.put(
             id,
             ledger.received(
                 words[2],
@@ -135,7 +135,7 @@
                 Double.parseDouble(words[3]),
                 Double.parseDouble(words[4])));
       } else {
-        Attempt attempt = open.remove(id);
+        Attempt attempt = openAttempts.remove(id);
         if (attempt != null) {
           attempt.end(AttemptEnd.valueOf(words[2]), Double.parseDouble(words[3]));
         }
@@ -147,8 +147,8 @@
       if (osProcess != null) {
         osProcess.signal(GatewayHandle.Signal.KILL);
         osProcess = null;
-        open.values().forEach(a -> a.end(AttemptEnd.RESET, emulatorLoop.now()));
-        open.clear();
+        openAttempts.values().forEach(a -> a.end(AttemptEnd.RESET, emulatorLoop.now()));
+        openAttempts.clear();
       }
     }
 
--- a/src/main/java/hazelspoke/emulator/run/InProcessGatewayLauncher.java
+++ b/src/main/java/hazelspoke/emulator/run/InProcessGatewayLauncher.java
@@ -11,11 +11,11 @@
   @Override
   public GatewayHandle launch(String name, Map<String, String> environment, Path log)
       throws IOException {
-    PrintStream lines = new PrintStream(log.toFile());
+    PrintStream output = new PrintStream(log.toFile());
     try {
-      return new InProcessGateway(Gateway.open(environment, lines), environment, lines);
+      return new InProcessGateway(Gateway.open(environment, output), environment, output);
     } catch (IllegalStateException e) {
-      lines.close();
+      output.close();
       throw new IOException(name + " cannot start: " + e.getMessage(), e);
     }
   }
@@ -23,14 +23,14 @@
   private static final class InProcessGateway implements GatewayHandle {
     private final Gateway gateway;
     private final Map<String, String> environment;
-    private final PrintStream lines;
+    private final PrintStream output;
     private volatile boolean alive = true;
     private Thread stopper;
 
-    InProcessGateway(Gateway gateway, Map<String, String> environment, PrintStream lines) {
+    InProcessGateway(Gateway gateway, Map<String, String> environment, PrintStream output) {
       this.gateway = gateway;
       this.environment = environment;
-      this.lines = lines;
+      this.output = output;
     }
 
     @Override
@@ -44,12 +44,12 @@
       }
     }
 
-    private void stopWith(Runnable how) {
+    private void stopWith(Runnable action) {
       if (stopper == null) {
         stopper =
             new Thread(
                 () -> {
-                  how.run();
+                  action.run();
                   alive = false;
                 },
                 "leave");
@@ -76,7 +76,7 @@
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
-      lines.close();
+      output.close();
     }
   }
 }
--- a/src/main/java/hazelspoke/emulator/run/LinkFaults.java
+++ b/src/main/java/hazelspoke/emulator/run/LinkFaults.java
@@ -35,18 +35,18 @@
       case LINK_LOSSY -> repeat(fault, link, until, () -> Impairment.silence(true, true), false);
       case LINK_FLAPPING -> repeat(fault, link, until, Impairment::cut, true);
       case LINK_CUT -> {
-        hold(active, link, Impairment.cut());
+        apply(active, link, Impairment.cut());
         link.reset();
       }
-      case LINK_SILENT -> hold(active, link, Impairment.silence(true, true));
-      case LINK_MUTE -> hold(active, link, Impairment.silence(true, false));
-      case LINK_DEAF -> hold(active, link, Impairment.silence(false, true));
-      case LINK_SLOW -> hold(active, link, Impairment.delay(fault.factor()));
+      case LINK_SILENT -> apply(active, link, Impairment.silence(true, true));
+      case LINK_MUTE -> apply(active, link, Impairment.silence(true, false));
+      case LINK_DEAF -> apply(active, link, Impairment.silence(false, true));
+      case LINK_SLOW -> apply(active, link, Impairment.delay(fault.factor()));
       default -> throw new IllegalStateException(fault.kind() + " does not apply to links");
     }
   }
 
-  private void hold(ActiveFault active, Link link, Impairment impairment) {
+  private void apply(ActiveFault active, Link link, Impairment impairment) {
     link.begin(impairment);
     undoActions.put(active, () -> link.end(impairment));
   }
--- a/src/main/java/hazelspoke/emulator/run/ProcessGatewayLauncher.java
+++ b/src/main/java/hazelspoke/emulator/run/ProcessGatewayLauncher.java
@@ -13,38 +13,38 @@
  */
 public final class ProcessGatewayLauncher implements GatewayLauncher {
   private final Path home;
-  private final String run;
-  private final int sockets;
+  private final String command;
+  private final int maxDescriptors;
 
   /**
    * @param home the root of the repository
    * @throws IOException if its deploy file has no command line
    */
-  public ProcessGatewayLauncher(Path home, int sockets) throws IOException {
-    this(home, deployedCommand(home.resolve("deploy/balancer.toml")), sockets);
+  public ProcessGatewayLauncher(Path home, int maxDescriptors) throws IOException {
+    this(home, deployedCommand(home.resolve("deploy/balancer.toml")), maxDescriptors);
   }
 
   /** Uses the given command line, run in the folder {@code home}. */
-  ProcessGatewayLauncher(Path home, String run, int sockets) {
+  ProcessGatewayLauncher(Path home, String command, int maxDescriptors) {
     this.home = home;
-    this.run = run;
-    this.sockets = sockets;
+    this.command = command;
+    this.maxDescriptors = maxDescriptors;
   }
 
   private static String deployedCommand(Path file) throws IOException {
     TomlParseResult deploy = Toml.parse(Files.readString(file));
-    String run = deploy.hasErrors() ? null : deploy.getString("run");
-    if (run == null) {
+    String command = deploy.hasErrors() ? null : deploy.getString("run");
+    if (command == null) {
       throw new IOException(file + " has no command line named run");
     }
-    return run;
+    return command;
   }
 
   @Override
   public GatewayHandle launch(String name, Map<String, String> environment, Path log)
       throws IOException {
     ProcessBuilder builder =
-        new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + sockets + "; " + run)
+        new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + maxDescriptors + "; " + command)
             .directory(home.toFile())
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
--- a/src/main/java/hazelspoke/emulator/run/RecordClients.java
+++ b/src/main/java/hazelspoke/emulator/run/RecordClients.java
@@ -101,7 +101,7 @@
 
   private void run(Random random) {
     while (!stopping) {
-      String key = key(random);
+      String key = chooseKey(random);
       if (random.nextInt(3) == 0) {
         read(key, random);
       } else {
@@ -131,7 +131,7 @@
           value = note.text("value");
         }
       }
-      answered(key, Call.read(from, System.nanoTime() - startNanos, version, value));
+      recordAnswer(key, Call.read(from, System.nanoTime() - startNanos, version, value));
     } catch (IOException | MalformedException e) {
       synchronized (this) {
         unanswered++;
@@ -144,12 +144,12 @@
     String value = "v" + values.incrementAndGet();
     Command.Numbered command =
         new Command.Numbered("rehearsal/" + value, 1, new Command.Note(key, -1, value));
-    int tries = 1 + random.nextInt(3);
-    for (int i = 0; i < tries; i++) {
+    int maxAttempts = 1 + random.nextInt(3);
+    for (int i = 0; i < maxAttempts; i++) {
       try (OperatorClient client = connect(random)) {
         CommandResult answer = client.command(command, CALL_TIMEOUT_MS);
         long to = System.nanoTime() - startNanos;
-        answered(key, Call.write(from, to, -1, value, answer.succeeded(), answer.number()));
+        recordAnswer(key, Call.write(from, to, -1, value, answer.succeeded(), answer.number()));
         return;
       } catch (IOException e) {
         // The outcome is unknown: the same command is sent to another gateway.
@@ -157,11 +157,11 @@
     }
     synchronized (this) {
       unknown++;
-      history(key).add(Call.lost(from, -1, value));
+      historyOf(key).add(Call.lost(from, -1, value));
     }
   }
 
-  private synchronized void answered(String key, Call call) {
+  private synchronized void recordAnswer(String key, Call call) {
     long now = System.nanoTime();
     longestGapNanos = Math.max(longestGapNanos, now - lastAnswerNanos);
     lastAnswerNanos = now;
@@ -170,17 +170,17 @@
     } else {
       reads++;
     }
-    history(key).add(call);
+    historyOf(key).add(call);
   }
 
-  private List<Call> history(String key) {
+  private List<Call> historyOf(String key) {
     return histories.computeIfAbsent(key, k -> new ArrayList<>());
   }
 
   /** Returns a key whose history is below the limit; long runs move on to new keys. */
-  private synchronized String key(Random random) {
+  private synchronized String chooseKey(Random random) {
     int n = random.nextInt(KEYS);
-    while (history("k" + n).size() >= MAX_CALLS_PER_KEY) {
+    while (historyOf("k" + n).size() >= MAX_CALLS_PER_KEY) {
       n += KEYS;
     }
     return "k" + n;
--- a/src/main/java/hazelspoke/emulator/run/Rehearsal.java
+++ b/src/main/java/hazelspoke/emulator/run/Rehearsal.java
@@ -53,7 +53,7 @@
   private final World world;
   private final Script script;
   private final GatewayLauncher launcher;
-  private final HostProcesses apart;
+  private final HostProcesses hostProcesses;
   private final Path folder;
   private final PrintStream progress;
   private final EventLoopGroup group =
@@ -71,7 +71,7 @@
   private Fleet fleet;
 
   /** Clients of the gateways' record; null if the gateways share none. */
-  private RecordClients record;
+  private RecordClients recordClients;
 
   private RecordMonitor monitor;
   private RecordFigures recordFigures;
@@ -81,26 +81,27 @@
 
   private Gateways gateways;
   private double startMs;
-  private int next;
+  private int nextArrival;
   private int served;
   private int refused;
   private int failed;
 
   /**
    * @param folder existing folder for configurations and logs
-   * @param apart starts the hosts that run in processes of their own; null if the script has none
+   * @param hostProcesses starts the hosts that run in processes of their own; null if the script
+   *     has none
    * @param progress receives progress lines during the run
    */
   public Rehearsal(
       World world,
       GatewayLauncher launcher,
-      HostProcesses apart,
+      HostProcesses hostProcesses,
       Path folder,
       PrintStream progress) {
     this.world = world;
     this.script = world.script();
     this.launcher = launcher;
-    this.apart = apart;
+    this.hostProcesses = hostProcesses;
     this.folder = folder;
     this.progress = progress;
   }
@@ -121,7 +122,7 @@
         new Discovery(
             emulatorLoop, ledger, registry, links, script.discovery(), ConfigFile.MUST_ASK_MS);
     try {
-      fleet = new Fleet(emulatorLoop, world, ledger, registry, links, apart);
+      fleet = new Fleet(emulatorLoop, world, ledger, registry, links, hostProcesses);
       gateways =
           new Gateways(emulatorLoop, world, ledger, registry, discovery, links, launcher, folder);
       if (sharesRecord) {
@@ -155,19 +156,21 @@
       gateways.start();
       onLoop(() -> startLoad(discovery));
       if (sharesRecord && script.fleet().operators() > 0) {
-        record =
+        recordClients =
             new RecordClients(
-                gateways.all().stream().map(g -> g.record).toList(),
+                gateways.all().stream().map(g -> g.recordAddress).toList(),
                 script.fleet().operators(),
                 world.seed());
-        record.start();
+        recordClients.start();
         long zero = System.nanoTime() + (long) ((startMs - emulatorLoop.now()) * 1e6);
-        monitor = new RecordMonitor(gateways.all().stream().map(g -> g.record).toList(), zero);
+        monitor =
+            new RecordMonitor(gateways.all().stream().map(g -> g.recordAddress).toList(), zero);
       }
       await();
-      if (record != null) {
+      if (recordClients != null) {
         monitor.stop();
-        recordFigures = record.stop().with(monitor.lead(script.lengthMs()), gateways.replaced());
+        recordFigures =
+            recordClients.stop().with(monitor.lead(script.lengthMs()), gateways.replacedDisks());
       }
       onLoop(gateways::recordOpenOutages);
       gateways.close();
@@ -179,8 +182,8 @@
       if (monitor != null) {
         monitor.stop();
       }
-      if (record != null) {
-        record.stop();
+      if (recordClients != null) {
+        recordClients.stop();
       }
       if (gateways != null) {
         gateways.close();
@@ -234,9 +237,9 @@
               ledger,
               endpoints,
               script.fleet().sockets() / 3,
-              this::ended));
+              this::onOutcome));
     }
-    new Faults(emulatorLoop, world, fleet, gateways, links, discovery, registry, this::note)
+    new Faults(emulatorLoop, world, fleet, gateways, links, discovery, registry, this::reportFault)
         .schedule(startMs);
     emulatorLoop.monitorLag(loopLags::add);
     scheduleSample(0);
@@ -246,14 +249,14 @@
 
   /** Starts all due requests and sets one timer for the next arrival. */
   private void startDueRequests() {
-    while (next < world.arrivals().size()) {
-      Arrival arrival = world.arrivals().get(next).later(startMs);
+    while (nextArrival < world.arrivals().size()) {
+      Arrival arrival = world.arrivals().get(nextArrival).later(startMs);
       double now = emulatorLoop.now();
       if (arrival.atMs() > now) {
         emulatorLoop.at(arrival.atMs(), this::startDueRequests);
         return;
       }
-      next++;
+      nextArrival++;
       arrivalLags.add(now - arrival.atMs());
       clients.get(arrival.site()).start(arrival);
     }
@@ -262,7 +265,7 @@
     }
   }
 
-  private void ended(Outcome outcome) {
+  private void onOutcome(Outcome outcome) {
     Arrival arrival = world.arrivals().get(outcome.arrival().number());
     outcomes.add(new Outcome(arrival, outcome.tries(), outcome.result(), outcome.latencyMs()));
     switch (outcome.result()) {
@@ -277,7 +280,7 @@
     }
   }
 
-  private void note(String what) {
+  private void reportFault(String what) {
     progress.printf(
         Locale.ROOT, "%6.1f s  * %s%n", (emulatorLoop.now() - startMs) / MS_PER_S, what);
   }
@@ -295,7 +298,7 @@
               Locale.ROOT,
               "%6.1f s  asked %d  served %d  refused %d  failed %d  at hosts %d%n",
               (emulatorLoop.now() - startMs) / MS_PER_S,
-              next,
+              nextArrival,
               served,
               refused,
               failed,
--- a/src/main/java/hazelspoke/emulator/torment/FaultGenerator.java
+++ b/src/main/java/hazelspoke/emulator/torment/FaultGenerator.java
@@ -81,11 +81,11 @@
   private List<Fault> generateAll() {
     double lastMs = script.lengthMs() * (1 - FAULT_FREE_FRACTION);
     List<Fault> out = new ArrayList<>();
-    for (double at = gap(); at < lastMs - MIN_DURATION_MS; at += gap()) {
+    for (double atMs = nextGapMs(); atMs < lastMs - MIN_DURATION_MS; atMs += nextGapMs()) {
       // Log-uniform, so that short and long durations are equally likely.
       double ratio = MAX_DURATION_MS / MIN_DURATION_MS;
       double forMs = MIN_DURATION_MS * Math.pow(ratio, random.nextDouble());
-      out.addAll(next(rounded(at), rounded(Math.min(forMs, lastMs - at))));
+      out.addAll(next(rounded(atMs), rounded(Math.min(forMs, lastMs - atMs))));
     }
     out.sort(Comparator.comparingDouble(Fault::atMs));
     return List.copyOf(out);
@@ -96,20 +96,20 @@
     return Math.max(1, Math.rint(ms));
   }
 
-  private double gap() {
+  private double nextGapMs() {
     return 2 * MEAN_GAP_MS * random.nextDouble();
   }
 
-  private List<Fault> next(double at, double forMs) {
+  private List<Fault> next(double atMs, double forMs) {
     if (script.fleet().voters() > 0 && random.nextInt(FAULTS_PER_PEER_FAULT) == 0) {
-      return betweenGateways(at, forMs);
+      return betweenGateways(atMs, forMs);
     }
-    Fault fault = nextSingle(at, forMs);
+    Fault fault = nextSingle(atMs, forMs);
     return fault == null ? List.of() : List.of(fault);
   }
 
   /** Separates one or some gateways from the others, in one direction or in both. */
-  private List<Fault> betweenGateways(double at, double forMs) {
+  private List<Fault> betweenGateways(double atMs, double forMs) {
     int gateways = script.fleet().gateways();
     Kind kind = pick(LINK_FAULTS);
     List<String> selected =
@@ -125,26 +125,30 @@
     if (others.isEmpty()) {
       return List.of();
     }
-    Fault outbound = fault(kind, at, forMs, new Target(selected, 1, null, null, others));
+    Fault outbound = fault(kind, atMs, forMs, new Target(selected, 1, null, null, others));
     return random.nextInt(3) == 0
         ? List.of(outbound)
         : List.of(outbound, outbound.at(new Target(others, 1, null, null, selected)));
   }
 
-  private Fault nextSingle(double at, double forMs) {
+  private Fault nextSingle(double atMs, double forMs) {
     int side = random.nextInt(TARGET_CHOICES);
     if (side == 0) {
       if (random.nextInt(GATEWAY_FAULTS_PER_PAUSE) == 0) {
-        return pause(at);
+        return pause(atMs);
       }
       boolean disk = script.fleet().voters() > 0 && random.nextBoolean();
       return atProcess(
-          disk ? nextDiskFault() : pick(GATEWAY_FAULTS), "g", script.fleet().gateways(), at, forMs);
+          disk ? nextDiskFault() : pick(GATEWAY_FAULTS),
+          "g",
+          script.fleet().gateways(),
+          atMs,
+          forMs);
     }
     if (side == 1) {
-      return atProcess(pick(HOST_FAULTS), "s", script.fleet().servers(), at, forMs);
+      return atProcess(pick(HOST_FAULTS), "s", script.fleet().servers(), atMs, forMs);
     }
-    return fault(pick(LINK_FAULTS), at, forMs, links());
+    return fault(pick(LINK_FAULTS), atMs, forMs, links());
   }
 
   /**
@@ -160,21 +164,21 @@
     return kind;
   }
 
-  private Fault pause(double at) {
+  private Fault pause(double atMs) {
     String name = "g" + (1 + random.nextInt(script.fleet().gateways()));
     double forMs = rounded(SeededRandom.between(random, MIN_PAUSE_MS, MAX_PAUSE_MS));
     Target target = new Target(List.of(name), 1, null, null, List.of());
-    return fault(Kind.GATEWAY_PAUSE, at, forMs, target);
+    return fault(Kind.GATEWAY_PAUSE, atMs, forMs, target);
   }
 
   /** Returns null if the chosen process has not yet recovered from its last fault. */
-  private Fault atProcess(Kind kind, String letter, int count, double at, double forMs) {
+  private Fault atProcess(Kind kind, String letter, int count, double atMs, double forMs) {
     String name = letter + (1 + random.nextInt(count));
-    if (busyUntil.getOrDefault(name, 0.0) > at) {
+    if (busyUntil.getOrDefault(name, 0.0) > atMs) {
       return null;
     }
-    busyUntil.put(name, at + forMs + RECOVERY_MS);
-    return fault(kind, at, forMs, new Target(List.of(name), 1, null, null, List.of()));
+    busyUntil.put(name, atMs + forMs + RECOVERY_MS);
+    return fault(kind, atMs, forMs, new Target(List.of(name), 1, null, null, List.of()));
   }
 
   /** Selects one pair, one gateway, one host, or the links from some gateways to some hosts. */
@@ -213,7 +217,7 @@
     return kinds.get(random.nextInt(kinds.size()));
   }
 
-  private Fault fault(Kind kind, double at, double forMs, Target target) {
+  private Fault fault(Kind kind, double atMs, double forMs, Target target) {
     double factor = 1;
     double to = 0;
     double every = 0;
@@ -229,6 +233,6 @@
       }
     }
     double durationMs = kind.lasts() ? forMs : 0;
-    return new Fault(kind, at, durationMs, target, factor, 0, to, false, every, "", 0);
+    return new Fault(kind, atMs, durationMs, target, factor, 0, to, false, every, "", 0);
   }
 }
--- a/src/main/java/hazelspoke/emulator/torment/Shrinker.java
+++ b/src/main/java/hazelspoke/emulator/torment/Shrinker.java
@@ -54,14 +54,14 @@
     List<T> causes = List.copyOf(all);
     int parts = 2;
     while (causes.size() >= 2) {
-      List<T> fewer = fewer(causes, parts);
+      List<T> reduced = findReduced(causes, parts);
       if (tries > maxTries) {
         return new Found<>(causes, maxTries, false);
       }
-      if (fewer != null) {
+      if (reduced != null) {
         // A subset restarts with two parts; a complement keeps the granularity.
-        parts = fewer.size() <= causes.size() / parts ? 2 : Math.max(2, parts - 1);
-        causes = fewer;
+        parts = reduced.size() <= causes.size() / parts ? 2 : Math.max(2, parts - 1);
+        causes = reduced;
       } else if (parts >= causes.size()) {
         break;
       } else {
@@ -73,7 +73,7 @@
   }
 
   /** Returns a part that fails by itself, or the complement of one; null if none fails. */
-  private List<T> fewer(List<T> causes, int parts) throws InterruptedException {
+  private List<T> findReduced(List<T> causes, int parts) throws InterruptedException {
     List<List<T>> division = divide(causes, parts);
     for (List<T> part : division) {
       if (fails(part)) {
