--- a/src/main/java/hazelspoke/CompareCommand.java
+++ b/src/main/java/hazelspoke/CompareCommand.java
@@ -96,9 +96,9 @@
     }
     return compare(
         "script",
-        world.script().withApart(List.of()),
+        world.script().withSeparateProcessHosts(List.of()),
         "signals",
-        world.script().withApart(List.copyOf(affectedHosts)));
+        world.script().withSeparateProcessHosts(List.copyOf(affectedHosts)));
   }
 
   private int compare(
--- a/src/main/java/hazelspoke/Scripts.java
+++ b/src/main/java/hazelspoke/Scripts.java
@@ -112,7 +112,9 @@
   }
 
   static int status(Results results) {
-    return results.late().ranLate() ? RAN_LATE : results.kept() ? RULES_KEPT : RULE_VIOLATED;
+    return results.emulatorLag().ranLate()
+        ? RAN_LATE
+        : results.allRulesKept() ? RULES_KEPT : RULE_VIOLATED;
   }
 
   private static void write(Path file, String text) throws IOException {
--- a/src/main/java/hazelspoke/TormentCommand.java
+++ b/src/main/java/hazelspoke/TormentCommand.java
@@ -99,7 +99,9 @@
     require(
         gateways >= base.fleet().sites().size() && gateways <= 200,
         "--processes: expected at least one for each site, and 200 at most");
-    require(base.fleet().apart().isEmpty(), options.script() + ": fleet.apart: must be empty");
+    require(
+        base.fleet().separateProcessHosts().isEmpty(),
+        options.script() + ": fleet.apart: must be empty");
     Script longer = base.withProcesses(gateways, ms);
     List<Fault> faults = new ArrayList<>(base.faults());
     faults.addAll(FaultDraw.draw(longer, options.seed()));
--- a/src/main/java/hazelspoke/emulator/judge/Ledger.java
+++ b/src/main/java/hazelspoke/emulator/judge/EventLog.java
@@ -9,13 +9,13 @@
 
 /**
  * What clients and hosts saw, and nothing that a gateway says of itself. Kept whole until the end
- * of a rehearsal, whose length and rate bound it; then the {@link Judge} reads it. Times are in
- * milliseconds since the start of the load, all from one clock. One thread writes it, or one at a
- * time.
+ * of a rehearsal, whose length and rate bound it; then the {@link RuleChecker} reads it. Times are
+ * in milliseconds since the start of the load, all from one clock. One thread writes it, or one at
+ * a time.
  */
-public final class Ledger {
+public final class EventLog {
   /** How a client's try ended. */
-  public enum TryEnd {
+  public enum ClientAttemptEnd {
     OPEN,
     /** A whole answer came. */
     ANSWERED,
@@ -30,7 +30,7 @@
   }
 
   /** One try of a client's: a request with an id of its own. */
-  public static final class Try {
+  public static final class ClientAttempt {
     public final String txn;
     public final int number;
     public final int requestClass;
@@ -41,22 +41,22 @@
     public double sentAt = Double.NaN;
 
     /** When its first byte was written; NaN as long as it was not. */
-    public double begunAt = Double.NaN;
+    public double sendStartedAt = Double.NaN;
 
     /** When its client stops waiting. */
     public double deadline;
 
     public double endedAt = Double.NaN;
-    public TryEnd end = TryEnd.OPEN;
+    public ClientAttemptEnd end = ClientAttemptEnd.OPEN;
     public int status;
 
     /** The host that the answer names as its maker; null where no host can have made it. */
-    public String maker;
+    public String respondingHost;
 
     /** Whether more came on the connection than one answer. */
-    public boolean answeredTwice;
+    public boolean hasExtraResponse;
 
-    Try(
+    ClientAttempt(
         String txn,
         int number,
         int requestClass,
@@ -73,11 +73,11 @@
 
     /** Whether the answer says that another try is harmless. */
     public boolean refused() {
-      return end == TryEnd.ANSWERED && (status == 429 || status == 503);
+      return end == ClientAttemptEnd.ANSWERED && (status == 429 || status == 503);
     }
 
     public boolean served() {
-      return end == TryEnd.ANSWERED && status == 200;
+      return end == ClientAttemptEnd.ANSWERED && status == 200;
     }
   }
 
@@ -128,31 +128,32 @@
   }
 
   /** What a gateway was told of a host. */
-  public record Told(int gateway, String host, boolean ready, double at) {}
+  public record HostNotification(int gateway, String host, boolean ready, double at) {}
 
   /** A time for which a gateway did not run, or was about to be killed. */
   public record Outage(int gateway, double from, double to) {}
 
   /** A cold host that fell over, and the share of the work that knew of its start. */
-  public record Fall(String host, double at, double toldShare) {}
+  public record HostOverload(String host, double at, double informedShare) {}
 
-  private final Map<String, Try> tries = new LinkedHashMap<>();
+  private final Map<String, ClientAttempt> clientAttempts = new LinkedHashMap<>();
   private final Map<String, List<Attempt>> attempts = new HashMap<>();
-  private final Map<String, List<Told>> told = new HashMap<>();
+  private final Map<String, List<HostNotification>> notifications = new HashMap<>();
   private final List<Outage> outages = new ArrayList<>();
-  private final List<Fall> falls = new ArrayList<>();
+  private final List<HostOverload> overloads = new ArrayList<>();
   private long attemptCount;
 
   /** A client begins to send a request. */
-  public Try asked(
+  public ClientAttempt requestStarted(
       String txn,
       int number,
       int requestClass,
       int gateway,
       boolean freshConnection,
       double deadline) {
-    Try t = new Try(txn, number, requestClass, gateway, freshConnection, deadline);
-    tries.put(txn, t);
+    ClientAttempt t =
+        new ClientAttempt(txn, number, requestClass, gateway, freshConnection, deadline);
+    clientAttempts.put(txn, t);
     return t;
   }
 
@@ -165,26 +166,27 @@
   }
 
   /** News of a host was written to a gateway, or counts as told. */
-  public void told(int gateway, String host, boolean ready, double at) {
-    told.computeIfAbsent(gateway + " " + host, k -> new ArrayList<>(2))
-        .add(new Told(gateway, host, ready, at));
+  public void notified(int gateway, String host, boolean ready, double at) {
+    notifications
+        .computeIfAbsent(gateway + " " + host, k -> new ArrayList<>(2))
+        .add(new HostNotification(gateway, host, ready, at));
   }
 
   public void outage(int gateway, double from, double to) {
     outages.add(new Outage(gateway, from, to));
   }
 
-  public void fell(String host, double at, double toldShare) {
-    falls.add(new Fall(host, at, toldShare));
+  public void overloaded(String host, double at, double informedShare) {
+    overloads.add(new HostOverload(host, at, informedShare));
   }
 
   /** The try with this id; null for one that no client asked. */
-  public Try find(String txn) {
-    return tries.get(txn);
+  public ClientAttempt find(String txn) {
+    return clientAttempts.get(txn);
   }
 
-  public Collection<Try> tries() {
-    return tries.values();
+  public Collection<ClientAttempt> clientAttempts() {
+    return clientAttempts.values();
   }
 
   /** The attempts of a try, in the order in which they were noted. */
@@ -197,26 +199,29 @@
   }
 
   /** What a gateway was told of a host, in order. */
-  public List<Told> told(int gateway, String host) {
-    return told.getOrDefault(gateway + " " + host, List.of());
+  public List<HostNotification> notifications(int gateway, String host) {
+    return notifications.getOrDefault(gateway + " " + host, List.of());
   }
 
   public List<Outage> outages() {
     return outages;
   }
 
-  public List<Fall> falls() {
-    return falls;
+  public List<HostOverload> overloads() {
+    return overloads;
   }
 
   /** Ids that reached a host and that no client ever sent. */
-  public List<String> unknown() {
-    return attempts.keySet().stream().filter(txn -> !tries.containsKey(txn)).sorted().toList();
+  public List<String> unknownRequestIds() {
+    return attempts.keySet().stream()
+        .filter(txn -> !clientAttempts.containsKey(txn))
+        .sorted()
+        .toList();
   }
 
   /** Moves all times by so much: for a reader whose 0 is another. */
-  public void shift(double byMs) {
-    for (Try t : tries.values()) {
+  public void shiftTimes(double byMs) {
+    for (ClientAttempt t : clientAttempts.values()) {
       t.sentAt += byMs;
       t.deadline += byMs;
       t.endedAt += byMs;
@@ -228,10 +233,10 @@
         a.endedAt += byMs;
       }
     }
-    for (List<Told> list : told.values()) {
-      list.replaceAll(t -> new Told(t.gateway(), t.host(), t.ready(), t.at() + byMs));
+    for (List<HostNotification> list : notifications.values()) {
+      list.replaceAll(t -> new HostNotification(t.gateway(), t.host(), t.ready(), t.at() + byMs));
     }
     outages.replaceAll(o -> new Outage(o.gateway(), o.from() + byMs, o.to() + byMs));
-    falls.replaceAll(f -> new Fall(f.host(), f.at() + byMs, f.toldShare()));
+    overloads.replaceAll(f -> new HostOverload(f.host(), f.at() + byMs, f.informedShare()));
   }
 }
--- a/src/main/java/hazelspoke/emulator/judge/Linearizability.java
+++ b/src/main/java/hazelspoke/emulator/judge/Linearizability.java
@@ -17,11 +17,11 @@
  * <p>A version is a number that grows with each write and is chosen by the register. Each write of
  * a history has a value of its own. A call whose end nobody saw may have taken hold at any time
  * after its beginning, or never. Histories of some hundred calls are decided in milliseconds; with
- * many unknown ends the search may grow, and gives up at {@link #MOST_STATES}.
+ * many unknown ends the search may grow, and gives up at {@link #MAX_STATES}.
  */
 public final class Linearizability {
   /** So many positions are looked at before the search gives up. */
-  public static final int MOST_STATES = 2_000_000;
+  public static final int MAX_STATES = 2_000_000;
 
   /** When nobody saw the end of a call. */
   public static final long UNKNOWN = Long.MAX_VALUE;
@@ -52,7 +52,7 @@
     }
 
     /** A write whose end nobody saw. */
-    public static Call lost(long from, long expected, String value) {
+    public static Call withUnknownEnd(long from, long expected, String value) {
       return new Call(from, UNKNOWN, true, expected, value, true, 0);
     }
   }
@@ -100,8 +100,8 @@
     } catch (StackOverflowError e) {
       return "not decided: " + calls.size() + " calls are too many";
     }
-    return search.tried.size() >= MOST_STATES
-        ? "not decided after " + MOST_STATES + " positions"
+    return search.tried.size() >= MAX_STATES
+        ? "not decided after " + MAX_STATES + " positions"
         : "no order explains these calls; the longest that does ends before "
             + calls.get(Math.min(search.most, calls.size() - 1));
   }
@@ -140,7 +140,7 @@
     if (!left) {
       return true;
     }
-    if (tried.size() >= MOST_STATES || !tried.add(new Position((BitSet) taken.clone(), state))) {
+    if (tried.size() >= MAX_STATES || !tried.add(new Position((BitSet) taken.clone(), state))) {
       return false;
     }
     most = Math.max(most, taken.cardinality());
--- a/src/main/java/hazelspoke/emulator/judge/RecordFigures.java
+++ b/src/main/java/hazelspoke/emulator/judge/RecordMetrics.java
@@ -10,48 +10,50 @@
  * @param writes that were answered, those that were turned down among them
  * @param unknown writes whose end nobody saw
  * @param unanswered reads that were given up
- * @param lead what was seen of who leads
- * @param replaced disks that were lost or damaged, and vote again where they did
+ * @param leadership what was seen of who leads
+ * @param replacedDisks disks that were lost or damaged, and vote again where they did
  * @param longestGapMs the longest time in which no call was answered, in milliseconds
- * @param wrong a line for each note whose history no single copy explains
+ * @param violations a line for each note whose history no single copy explains
  */
-public record RecordFigures(
+public record RecordMetrics(
     int reads,
     int writes,
     int unknown,
     int unanswered,
-    Lead lead,
-    int replaced,
+    LeadershipMetrics leadership,
+    int replacedDisks,
     double longestGapMs,
-    List<String> wrong) {
+    List<String> violations) {
   /**
    * Who led, as gateways said; for pictures, not for judging.
    *
-   * @param times how often one of them began to lead
+   * @param leaderChanges how often one of them began to lead
    * @param secondsWithout in how many seconds none said so
    * @param entries up to which entry the record came
    * @param bySecond entries in each second
    */
-  public record Lead(int times, int secondsWithout, long entries, List<Integer> bySecond) {
+  public record LeadershipMetrics(
+      int leaderChanges, int secondsWithout, long entries, List<Integer> bySecond) {
     /** Nothing was seen. */
-    public static final Lead NONE = new Lead(0, 0, 0, List.of());
+    public static final LeadershipMetrics NONE = new LeadershipMetrics(0, 0, 0, List.of());
 
-    public Lead {
+    public LeadershipMetrics {
       bySecond = List.copyOf(bySecond);
     }
   }
 
-  public RecordFigures {
-    wrong = List.copyOf(wrong);
+  public RecordMetrics {
+    violations = List.copyOf(violations);
   }
 
   /** The same, with what others have seen. */
-  public RecordFigures with(Lead seen, int disks) {
-    return new RecordFigures(reads, writes, unknown, unanswered, seen, disks, longestGapMs, wrong);
+  public RecordMetrics withObservations(LeadershipMetrics seen, int disks) {
+    return new RecordMetrics(
+        reads, writes, unknown, unanswered, seen, disks, longestGapMs, violations);
   }
 
   /** In a few words. */
-  public String words() {
+  public String summary() {
     return String.format(
         Locale.ROOT,
         "%d writes and %d reads answered, %d writes of unknown end, %d reads given up, at most %.1f s"
@@ -62,9 +64,9 @@
         unknown,
         unanswered,
         longestGapMs / 1_000,
-        lead.entries(),
-        lead.times(),
-        lead.secondsWithout(),
-        replaced);
+        leadership.entries(),
+        leadership.leaderChanges(),
+        leadership.secondsWithout(),
+        replacedDisks);
   }
 }
--- a/src/main/java/hazelspoke/emulator/judge/Rule.java
+++ b/src/main/java/hazelspoke/emulator/judge/Rule.java
@@ -18,7 +18,7 @@
   VIOLATION;
 
   /** The name in reports. */
-  public String word() {
+  public String reportName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 }
--- a/src/main/java/hazelspoke/emulator/judge/Judge.java
+++ b/src/main/java/hazelspoke/emulator/judge/RuleChecker.java
@@ -1,10 +1,10 @@
 package hazelspoke.emulator.judge;
 
-import hazelspoke.emulator.judge.Ledger.Attempt;
-import hazelspoke.emulator.judge.Ledger.AttemptEnd;
-import hazelspoke.emulator.judge.Ledger.Told;
-import hazelspoke.emulator.judge.Ledger.Try;
-import hazelspoke.emulator.judge.Ledger.TryEnd;
+import hazelspoke.emulator.judge.EventLog.Attempt;
+import hazelspoke.emulator.judge.EventLog.AttemptEnd;
+import hazelspoke.emulator.judge.EventLog.ClientAttempt;
+import hazelspoke.emulator.judge.EventLog.ClientAttemptEnd;
+import hazelspoke.emulator.judge.EventLog.HostNotification;
 import hazelspoke.emulator.script.Script;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -15,7 +15,7 @@
  * Reads the ledger by the rules: a function of what clients and hosts saw, with no view into any
  * gateway. Every time limit is longer by the script's slack, for what sockets and schedulers take.
  */
-public final class Judge {
+public final class RuleChecker {
   /** After its client's deadline an answer is still in time for this long. */
   static final double ANSWER_GRACE_MS = 20;
 
@@ -31,32 +31,32 @@
   static final double KNOWING_SHARE = 2.0 / 3;
 
   private final Script script;
-  private final Ledger ledger;
+  private final EventLog eventLog;
   private final double slackMs;
-  private final List<Breach> breaches = new ArrayList<>();
+  private final List<Violation> breaches = new ArrayList<>();
 
-  private Judge(Script script, Ledger ledger) {
+  private RuleChecker(Script script, EventLog eventLog) {
     this.script = script;
-    this.ledger = ledger;
-    slackMs = script.judge().slackMs();
+    this.eventLog = eventLog;
+    slackMs = script.checker().slackMs();
   }
 
   /** All breaches, in the order of their times. */
-  public static List<Breach> judge(Script script, Ledger ledger) {
-    Judge judge = new Judge(script, ledger);
-    for (Try t : ledger.tries()) {
-      judge.tryOf(t);
+  public static List<Violation> check(Script script, EventLog eventLog) {
+    RuleChecker checker = new RuleChecker(script, eventLog);
+    for (ClientAttempt t : eventLog.clientAttempts()) {
+      checker.tryOf(t);
     }
-    for (String txn : ledger.unknown()) {
-      Attempt first = ledger.attempts(txn).get(0);
-      judge.breaches.add(
-          new Breach(
+    for (String txn : eventLog.unknownRequestIds()) {
+      Attempt first = eventLog.attempts(txn).get(0);
+      checker.breaches.add(
+          new Violation(
               Rule.LOST, first.receivedAt, txn, "no client ever sent this request", List.of()));
     }
-    for (Ledger.Fall fall : ledger.falls()) {
-      if (fall.toldShare() >= KNOWING_SHARE) {
-        judge.breaches.add(
-            new Breach(
+    for (EventLog.HostOverload fall : eventLog.overloads()) {
+      if (fall.informedShare() >= KNOWING_SHARE) {
+        checker.breaches.add(
+            new Violation(
                 Rule.COLD,
                 fall.at(),
                 fall.host(),
@@ -65,20 +65,20 @@
                     String.format(
                         Locale.ROOT,
                         "%.0f %% of the work came from gateways that had been told of its start",
-                        100 * fall.toldShare()))));
+                        100 * fall.informedShare()))));
       }
     }
-    judge.breaches.sort(Comparator.comparingDouble(Breach::atMs));
-    return List.copyOf(judge.breaches);
+    checker.breaches.sort(Comparator.comparingDouble(Violation::atMs));
+    return List.copyOf(checker.breaches);
   }
 
   /** The time up to which an answer to a try is no breach. */
-  public static double lastMoment(double deadline, double slackMs) {
+  public static double latestResponseTime(double deadline, double slackMs) {
     return deadline + ANSWER_GRACE_MS + slackMs;
   }
 
-  private void tryOf(Try t) {
-    List<Attempt> attempts = new ArrayList<>(ledger.attempts(t.txn));
+  private void tryOf(ClientAttempt t) {
+    List<Attempt> attempts = new ArrayList<>(eventLog.attempts(t.txn));
     attempts.sort(Comparator.comparingDouble(a -> a.receivedAt));
     boolean excused = wasOut(t);
     if (!excused) {
@@ -92,22 +92,22 @@
   }
 
   /** Whether the gateway was down at some moment while it had the request. */
-  private boolean wasOut(Try t) {
+  private boolean wasOut(ClientAttempt t) {
     double from = Double.isNaN(t.sentAt) ? Double.NEGATIVE_INFINITY : t.sentAt;
     double to = Double.isNaN(t.endedAt) ? Double.POSITIVE_INFINITY : t.endedAt;
-    return ledger.outages().stream()
+    return eventLog.outages().stream()
         .anyMatch(o -> o.gateway() == t.gateway && o.from() <= to + slackMs && from <= o.to());
   }
 
-  private void lost(Try t, List<Attempt> attempts) {
-    if (t.answeredTwice) {
+  private void lost(ClientAttempt t, List<Attempt> attempts) {
+    if (t.hasExtraResponse) {
       breach(Rule.LOST, t, attempts, "more than one answer");
     }
     switch (t.end) {
       case ANSWERED -> {
         if (t.served() && !isGenuine(t, attempts)) {
           breach(Rule.LOST, t, attempts, "served with what no host made for it");
-        } else if (t.endedAt > lastMoment(t.deadline, slackMs)) {
+        } else if (t.endedAt > latestResponseTime(t.deadline, slackMs)) {
           breach(Rule.LOST, t, attempts, "answered after its client's deadline");
         }
       }
@@ -115,7 +115,7 @@
       case CLOSED -> {
         // One that crossed the close, or that a fresh connection had nothing sent on for, has
         // failed and may be asked again.
-        if (!attempts.isEmpty() || t.endedAt - t.begunAt > MOST_CROSSING_MS) {
+        if (!attempts.isEmpty() || t.endedAt - t.sendStartedAt > MOST_CROSSING_MS) {
           breach(Rule.LOST, t, attempts, "the connection ended without an answer");
         }
       }
@@ -132,11 +132,12 @@
     }
   }
 
-  private static boolean isGenuine(Try t, List<Attempt> attempts) {
-    return attempts.stream().anyMatch(a -> a.host.equals(t.maker) && a.end == AttemptEnd.SERVED);
+  private static boolean isGenuine(ClientAttempt t, List<Attempt> attempts) {
+    return attempts.stream()
+        .anyMatch(a -> a.host.equals(t.respondingHost) && a.end == AttemptEnd.SERVED);
   }
 
-  private void twice(Try t, List<Attempt> attempts) {
+  private void twice(ClientAttempt t, List<Attempt> attempts) {
     Script.RequestClass type = script.classes().get(t.requestClass);
     if (type.effect() == Script.Effect.REPEATABLE) {
       return;
@@ -165,7 +166,7 @@
   }
 
   /** When the attempt after this one came, or the client's answer where none did. */
-  private static double next(List<Attempt> attempts, Attempt a, Try t) {
+  private static double next(List<Attempt> attempts, Attempt a, ClientAttempt t) {
     int i = attempts.indexOf(a);
     if (i + 1 < attempts.size()) {
       return attempts.get(i + 1).receivedAt;
@@ -173,10 +174,10 @@
     return Double.isNaN(t.endedAt) ? Double.POSITIVE_INFINITY : t.endedAt;
   }
 
-  private void drain(Try t, List<Attempt> attempts) {
+  private void drain(ClientAttempt t, List<Attempt> attempts) {
     for (Attempt a : attempts) {
-      Told last = null;
-      for (Told told : ledger.told(t.gateway, a.host)) {
+      HostNotification last = null;
+      for (HostNotification told : eventLog.notifications(t.gateway, a.host)) {
         if (told.at() <= a.earliest && (last == null || last.ready() || told.ready())) {
           last = told;
         }
@@ -196,7 +197,7 @@
     }
   }
 
-  private void breach(Rule rule, Try t, List<Attempt> attempts, String what) {
+  private void breach(Rule rule, ClientAttempt t, List<Attempt> attempts, String what) {
     List<String> details = new ArrayList<>();
     details.add(
         String.format(
@@ -206,7 +207,7 @@
             t.gateway + 1,
             t.sentAt,
             t.deadline,
-            t.end == TryEnd.ANSWERED
+            t.end == ClientAttemptEnd.ANSWERED
                 ? "answered " + t.status
                 : t.end.name().toLowerCase(Locale.ROOT),
             t.endedAt,
@@ -222,6 +223,6 @@
               a.endedAt));
     }
     double at = Double.isNaN(t.endedAt) ? t.deadline : t.endedAt;
-    breaches.add(new Breach(rule, at, t.txn, what, details));
+    breaches.add(new Violation(rule, at, t.txn, what, details));
   }
 }
--- a/src/main/java/hazelspoke/emulator/judge/Breach.java
+++ b/src/main/java/hazelspoke/emulator/judge/Violation.java
@@ -8,8 +8,8 @@
  * @param txn the request, or the host where it is about one
  * @param details what clients and hosts saw of it, a line each
  */
-public record Breach(Rule rule, double atMs, String txn, String what, List<String> details) {
-  public Breach {
+public record Violation(Rule rule, double atMs, String txn, String what, List<String> details) {
+  public Violation {
     details = List.copyOf(details);
   }
 }
--- a/src/main/java/hazelspoke/emulator/model/World.java
+++ b/src/main/java/hazelspoke/emulator/model/World.java
@@ -98,7 +98,7 @@
         }
         boolean bySignal = fault.kind() == Fault.Kind.CRASH || fault.kind() == Fault.Kind.FREEZE;
         for (ServerSpec s : servers) {
-          if ((bySignal || !script.fleet().apart().contains(s.name()))
+          if ((bySignal || !script.fleet().separateProcessHosts().contains(s.name()))
               && (site < 0 || s.site() == site)
               && (target.kind() == null || s.kind().equals(target.kind()))) {
             out.add(s.name());
@@ -111,7 +111,8 @@
       }
       case SITE -> {
         servers.stream()
-            .filter(s -> s.site() == site && !script.fleet().apart().contains(s.name()))
+            .filter(
+                s -> s.site() == site && !script.fleet().separateProcessHosts().contains(s.name()))
             .forEach(s -> out.add(s.name()));
         for (int i = 0; i < gatewaySites.size(); i++) {
           if (gatewaySites.get(i) == site) {
--- a/src/main/java/hazelspoke/emulator/net/Clients.java
+++ b/src/main/java/hazelspoke/emulator/net/Clients.java
@@ -1,9 +1,9 @@
 package hazelspoke.emulator.net;
 
-import hazelspoke.emulator.judge.Judge;
-import hazelspoke.emulator.judge.Ledger;
-import hazelspoke.emulator.judge.Ledger.Try;
-import hazelspoke.emulator.judge.Ledger.TryEnd;
+import hazelspoke.emulator.judge.EventLog;
+import hazelspoke.emulator.judge.EventLog.ClientAttempt;
+import hazelspoke.emulator.judge.EventLog.ClientAttemptEnd;
+import hazelspoke.emulator.judge.RuleChecker;
 import hazelspoke.emulator.model.Arrival;
 import hazelspoke.emulator.model.Outcome;
 import hazelspoke.emulator.model.Outcome.Result;
@@ -60,7 +60,7 @@
   private final EmulatorLoop stage;
   private final Script script;
   private final long seed;
-  private final Ledger ledger;
+  private final EventLog ledger;
   private final List<GatewayEndpoint> seats;
   private final int mostPerGateway;
   private final Consumer<Outcome> done;
@@ -78,7 +78,7 @@
       EmulatorLoop stage,
       Script script,
       long seed,
-      Ledger ledger,
+      EventLog ledger,
       List<GatewayEndpoint> seats,
       int mostPerGateway,
       Consumer<Outcome> done) {
@@ -238,10 +238,10 @@
     private void unreachable(Connection c) {
       double now = stage.now();
       tries++;
-      Try t =
-          ledger.asked(
+      ClientAttempt t =
+          ledger.requestStarted(
               txn(), arrival.number(), arrival.requestClass(), c.seat.gateway, true, giveUpAt);
-      t.end = TryEnd.UNREACHABLE;
+      t.end = ClientAttemptEnd.UNREACHABLE;
       t.endedAt = now;
       retry(false, 0);
     }
@@ -270,8 +270,8 @@
       // Its time runs from its last byte.
       double deadline = now + restMs + left;
       String txn = txn();
-      Try t =
-          ledger.asked(
+      ClientAttempt t =
+          ledger.requestStarted(
               txn,
               arrival.number(),
               arrival.requestClass(),
@@ -279,7 +279,7 @@
               c.requests == 0,
               deadline);
       c.begin(this, t);
-      t.begunAt = now;
+      t.sendStartedAt = now;
       DefaultFullHttpRequest whole = head(txn, left);
       if (restMs == 0) {
         last(c, t, whole);
@@ -303,7 +303,7 @@
       return slow ? script.load().slowMs() * SeededRandom.unit(seed, number, SLOW_FOR) : 0;
     }
 
-    private void complete(Connection c, Try t, ByteBuf body) {
+    private void complete(Connection c, ClientAttempt t, ByteBuf body) {
       if (c.current == t) {
         last(c, t, new DefaultLastHttpContent(body));
       } else {
@@ -311,7 +311,7 @@
       }
     }
 
-    private void last(Connection c, Try t, HttpContent message) {
+    private void last(Connection c, ClientAttempt t, HttpContent message) {
       c.channel
           .writeAndFlush(message)
           .addListener(
@@ -359,7 +359,7 @@
               : "");
     }
 
-    private void answered(Try t, double retryAfterMs) {
+    private void answered(ClientAttempt t, double retryAfterMs) {
       if (t.served()) {
         finish(Result.SERVED);
       } else if (t.refused()) {
@@ -413,8 +413,8 @@
     private Channel channel;
     private int requests;
     private Asking asking;
-    private Try current;
-    private Try last;
+    private ClientAttempt current;
+    private ClientAttempt last;
     private boolean heard;
     private ScheduledFuture<?> limit;
 
@@ -425,7 +425,7 @@
           public void channelRead(ChannelHandlerContext ctx, Object message) {
             heard = true;
             if (current == null && last != null) {
-              last.answeredTwice = true;
+              last.hasExtraResponse = true;
             }
             ctx.fireChannelRead(message);
           }
@@ -435,38 +435,39 @@
       this.seat = seat;
     }
 
-    private void begin(Asking by, Try t) {
+    private void begin(Asking by, ClientAttempt t) {
       asking = by;
       current = t;
       heard = false;
       requests++;
       limit =
           stage.at(
-              Judge.lastMoment(t.deadline, script.judge().slackMs()),
-              () -> end(TryEnd.SILENT, by, false));
+              RuleChecker.latestResponseTime(t.deadline, script.checker().slackMs()),
+              () -> end(ClientAttemptEnd.SILENT, by, false));
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-      Try t = current;
+      ClientAttempt t = current;
       Asking by = asking;
       if (t == null) {
         channel.close();
         return;
       }
       if (!response.decoderResult().isSuccess()) {
-        end(TryEnd.TRUNCATED, by, false);
+        end(ClientAttemptEnd.TRUNCATED, by, false);
         return;
       }
       limit.cancel(false);
       last = t;
       current = null;
       asking = null;
-      t.end = TryEnd.ANSWERED;
+      t.end = ClientAttemptEnd.ANSWERED;
       t.endedAt = stage.now();
       t.status = response.status().code();
       if (t.status == 200) {
-        t.maker = Wire.respondingHost(t.txn, response.content().toString(StandardCharsets.UTF_8));
+        t.respondingHost =
+            Wire.respondingHost(t.txn, response.content().toString(StandardCharsets.UTF_8));
       }
       double retryAfter = seconds(response.headers().get(HttpHeaderNames.RETRY_AFTER));
       if (HttpUtil.isKeepAlive(response)) {
@@ -477,7 +478,7 @@
       by.answered(t, MS * retryAfter);
     }
 
-    private void end(TryEnd how, Asking by, boolean mayHaveCrossed) {
+    private void end(ClientAttemptEnd how, Asking by, boolean mayHaveCrossed) {
       limit.cancel(false);
       last = current;
       current.end = how;
@@ -495,7 +496,10 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       if (current != null) {
-        end(heard ? TryEnd.TRUNCATED : TryEnd.CLOSED, asking, !heard && requests > 1);
+        end(
+            heard ? ClientAttemptEnd.TRUNCATED : ClientAttemptEnd.CLOSED,
+            asking,
+            !heard && requests > 1);
       }
       closed(this);
     }
--- a/src/main/java/hazelspoke/emulator/net/Discovery.java
+++ b/src/main/java/hazelspoke/emulator/net/Discovery.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.net;
 
-import hazelspoke.emulator.judge.Ledger;
+import hazelspoke.emulator.judge.EventLog;
 import hazelspoke.emulator.model.CallQueue;
 import hazelspoke.emulator.model.Registry;
 import hazelspoke.emulator.model.Registry.Entry;
@@ -49,7 +49,7 @@
   private static final double LEFT_OPEN_MS = 1_500;
 
   private final EmulatorLoop stage;
-  private final Ledger ledger;
+  private final EventLog ledger;
   private final Registry registry;
   private final Links links;
   private final CallQueue queue;
@@ -64,7 +64,7 @@
    */
   public Discovery(
       EmulatorLoop stage,
-      Ledger ledger,
+      EventLog ledger,
       Registry registry,
       Links links,
       Script.Discovery script,
@@ -147,7 +147,7 @@
       stage.at(since + mayWait, () -> countAsTold(desk, news, since));
     } else {
       for (Entry e : news) {
-        ledger.told(desk.gateway, e.name(), e.status() == Status.READY, stage.now());
+        ledger.notified(desk.gateway, e.name(), e.status() == Status.READY, stage.now());
       }
     }
   }
@@ -201,14 +201,14 @@
       for (String host : List.copyOf(desk.told)) {
         if (!named.contains(host)) {
           desk.told.remove(host);
-          ledger.told(desk.gateway, host, false, stage.now());
+          ledger.notified(desk.gateway, host, false, stage.now());
         }
       }
     }
   }
 
   private void tell(Desk desk, Entry e) {
-    ledger.told(desk.gateway, e.name(), e.status() == Status.READY, stage.now());
+    ledger.notified(desk.gateway, e.name(), e.status() == Status.READY, stage.now());
     if (e.status() == Status.GONE) {
       desk.told.remove(e.name());
     } else {
--- a/src/main/java/hazelspoke/emulator/net/Host.java
+++ b/src/main/java/hazelspoke/emulator/net/Host.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.net;
 
-import hazelspoke.emulator.judge.Ledger.AttemptEnd;
+import hazelspoke.emulator.judge.EventLog.AttemptEnd;
 import hazelspoke.emulator.model.ColdOverloadDetector;
 import hazelspoke.emulator.model.IdempotencyWindow;
 import hazelspoke.emulator.model.Job;
--- a/src/main/java/hazelspoke/emulator/net/HostSink.java
+++ b/src/main/java/hazelspoke/emulator/net/HostSink.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.net;
 
-import hazelspoke.emulator.judge.Ledger.AttemptEnd;
+import hazelspoke.emulator.judge.EventLog.AttemptEnd;
 
 /** Where a host tells what it saw: the ledger, or the way to it from another process. */
 public interface HostSink {
--- a/src/main/java/hazelspoke/emulator/net/LedgerSink.java
+++ b/src/main/java/hazelspoke/emulator/net/LedgerSink.java
@@ -1,12 +1,12 @@
 package hazelspoke.emulator.net;
 
-import hazelspoke.emulator.judge.Ledger;
+import hazelspoke.emulator.judge.EventLog;
 
 /** Hosts in the emulator's own process write into the ledger itself. */
 public final class LedgerSink implements HostSink {
-  private final Ledger ledger;
+  private final EventLog ledger;
 
-  public LedgerSink(Ledger ledger) {
+  public LedgerSink(EventLog ledger) {
     this.ledger = ledger;
   }
 
@@ -17,12 +17,14 @@
 
   @Override
   public boolean isStartKnownToGateway(String txn, String host) {
-    Ledger.Try t = ledger.find(txn);
-    return t != null && ledger.told(t.gateway, host).stream().anyMatch(Ledger.Told::ready);
+    EventLog.ClientAttempt t = ledger.find(txn);
+    return t != null
+        && ledger.notifications(t.gateway, host).stream()
+            .anyMatch(EventLog.HostNotification::ready);
   }
 
   @Override
   public void fell(String host, double at, double toldShare) {
-    ledger.fell(host, at, toldShare);
+    ledger.overloaded(host, at, toldShare);
   }
 }
--- a/src/main/java/hazelspoke/emulator/report/Comparison.java
+++ b/src/main/java/hazelspoke/emulator/report/Comparison.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.report;
 
-import hazelspoke.emulator.judge.Effect;
+import hazelspoke.emulator.judge.FaultEffect;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -35,10 +35,10 @@
         c.effect(f, h, scripted, real);
       }
     }
-    c.row("a gateway: cores in use, %", scripted, real, r -> 100 * r.cores());
-    c.row("the busiest: cores in use, %", scripted, real, r -> 100 * r.mostCores());
-    c.row("memory of a gateway at most, MB", scripted, real, Results::mostMemoryMb);
-    c.row("descriptors of a gateway at most", scripted, real, Results::mostDescriptors);
+    c.row("a gateway: cores in use, %", scripted, real, r -> 100 * r.meanCores());
+    c.row("the busiest: cores in use, %", scripted, real, r -> 100 * r.maxCores());
+    c.row("memory of a gateway at most, MB", scripted, real, Results::maxMemoryMb);
+    c.row("descriptors of a gateway at most", scripted, real, Results::maxDescriptors);
     return c.out.toString();
   }
 
@@ -60,20 +60,20 @@
   }
 
   private static double share(Results r, String name, int count) {
-    return 100.0 * count / Math.max(1, type(r, name).asked());
+    return 100.0 * count / Math.max(1, type(r, name).requested());
   }
 
   private void effect(int fault, int host, List<Results> scripted, List<Results> real) {
-    Results.FaultNote note = scripted.get(0).faults().get(fault);
+    Results.FaultSummary note = scripted.get(0).faults().get(fault);
     String what = note.what().split(" ")[0] + " " + note.effects().get(host).host() + ": ";
-    row(what + "requests caught", scripted, real, r -> at(r, fault, host).caught());
+    row(what + "requests caught", scripted, real, r -> at(r, fault, host).affectedRequests());
     row(what + "of them served", scripted, real, r -> at(r, fault, host).served());
     row(what + "of them failed", scripted, real, r -> at(r, fault, host).failed());
-    row(what + "passed over, ms", scripted, real, r -> at(r, fault, host).passedOverMs());
-    row(what + "taken back, ms", scripted, real, r -> at(r, fault, host).takenBackMs());
+    row(what + "passed over, ms", scripted, real, r -> at(r, fault, host).timeToSkipMs());
+    row(what + "taken back, ms", scripted, real, r -> at(r, fault, host).timeToRestoreMs());
   }
 
-  private static Effect at(Results r, int fault, int host) {
+  private static FaultEffect at(Results r, int fault, int host) {
     return r.faults().get(fault).effects().get(host);
   }
 
--- a/src/main/java/hazelspoke/emulator/report/EffectWords.java
+++ b/src/main/java/hazelspoke/emulator/report/FaultEffectText.java
@@ -1,36 +1,36 @@
 package hazelspoke.emulator.report;
 
-import hazelspoke.emulator.judge.Effect;
+import hazelspoke.emulator.judge.FaultEffect;
 import java.util.List;
 import java.util.Locale;
 
 /** What a fault did, in a few words. */
-final class EffectWords {
+final class FaultEffectText {
   private static final double MS = 1_000;
   private static final int MOST = 4;
 
-  private EffectWords() {}
+  private FaultEffectText() {}
 
   /** All hosts together where they are many. */
-  static String of(List<Effect> effects) {
+  static String of(List<FaultEffect> effects) {
     if (effects.isEmpty()) {
       return "";
     }
     StringBuilder out = new StringBuilder();
     if (effects.size() <= MOST) {
-      for (Effect e : effects) {
+      for (FaultEffect e : effects) {
         out.append(out.isEmpty() ? "" : "; ").append(e.host()).append(' ');
         out.append(
             String.format(
                 Locale.ROOT,
                 "caught %d requests (%d served all the same, %d refused, %d failed), passed over"
                     + " after %s, taken back after %s",
-                e.caught(),
+                e.affectedRequests(),
                 e.served(),
                 e.refused(),
                 e.failed(),
-                seconds(e.passedOverMs()),
-                seconds(e.takenBackMs())));
+                seconds(e.timeToSkipMs()),
+                seconds(e.timeToRestoreMs())));
       }
       return out.toString();
     }
@@ -38,10 +38,10 @@
         Locale.ROOT,
         "%d hosts caught %d requests (%d served all the same, %d refused, %d failed)",
         effects.size(),
-        effects.stream().mapToInt(Effect::caught).sum(),
-        effects.stream().mapToInt(Effect::served).sum(),
-        effects.stream().mapToInt(Effect::refused).sum(),
-        effects.stream().mapToInt(Effect::failed).sum());
+        effects.stream().mapToInt(FaultEffect::affectedRequests).sum(),
+        effects.stream().mapToInt(FaultEffect::served).sum(),
+        effects.stream().mapToInt(FaultEffect::refused).sum(),
+        effects.stream().mapToInt(FaultEffect::failed).sum());
   }
 
   static String seconds(double ms) {
--- a/src/main/java/hazelspoke/emulator/report/HtmlReport.java
+++ b/src/main/java/hazelspoke/emulator/report/HtmlReport.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.report;
 
-import hazelspoke.emulator.judge.Breach;
+import hazelspoke.emulator.judge.Violation;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -98,11 +98,11 @@
   }
 
   private void verdict() {
-    String kind = r.late().ranLate() ? "void" : r.kept() ? "good" : "bad";
+    String kind = r.emulatorLag().ranLate() ? "void" : r.allRulesKept() ? "good" : "bad";
     StringBuilder what = new StringBuilder();
-    if (r.late().ranLate()) {
+    if (r.emulatorLag().ranLate()) {
       what.append("The emulator itself ran late: this rehearsal counts for nothing. ");
-    } else if (r.kept()) {
+    } else if (r.allRulesKept()) {
       what.append("All rules kept. ");
     } else {
       what.append("Rules broken: ");
@@ -110,29 +110,32 @@
           .forEach(
               (rule, n) -> {
                 if (n > 0) {
-                  what.append(rule.word()).append(' ').append(n).append("; ");
+                  what.append(rule.reportName()).append(' ').append(n).append("; ");
                 }
               });
       if (r.crashes() > 0) {
         what.append("gateways that crashed: ").append(r.crashes()).append("; ");
       }
     }
-    int asked = r.classes().values().stream().mapToInt(Results.ClassResult::asked).sum();
+    int requested = r.classes().values().stream().mapToInt(Results.ClassResult::requested).sum();
     int inTime = r.classes().values().stream().mapToInt(Results.ClassResult::inTime).sum();
     what.append(
         String.format(
             Locale.ROOT,
             "%.1f %% of %d requests were served in time.",
-            100.0 * inTime / Math.max(1, asked),
-            asked));
+            100.0 * inTime / Math.max(1, requested),
+            requested));
     add("<p class='verdict %s'>%s</p>", kind, what);
     if (r.record() != null) {
-      add("<p>The fleet's record: %s.</p>", r.record().words());
+      add("<p>The fleet's record: %s.</p>", r.record().summary());
     }
     add(
         "<p class='soft'>How late the emulator was itself: its clients %.1f ms (99 of 100) and"
             + " %.1f ms at most, its loop %.1f ms and %.1f ms.</p>",
-        r.late().arrivalsP99(), r.late().arrivalsMax(), r.late().loopP99(), r.late().loopMax());
+        r.emulatorLag().arrivalsP99(),
+        r.emulatorLag().arrivalsMax(),
+        r.emulatorLag().loopP99(),
+        r.emulatorLag().loopMax());
   }
 
   /** A bar for each fault, with its name, over the same time as the plots below. */
@@ -145,7 +148,7 @@
     Plot plot = new Plot(ROW * rows + 44, r.script().lengthMs(), 1);
     plot.time();
     for (int i = 0; i < rows; i++) {
-      Results.FaultNote f = r.faults().get(i);
+      Results.FaultSummary f = r.faults().get(i);
       plot.bar(f.atMs(), f.endMs(), 16 + ROW * i, ROW - 4, Html.escape(f.what()));
     }
     page.append(plot.done());
@@ -168,10 +171,10 @@
     Plot plot = new Plot(above + ROW * rows + 44, r.script().lengthMs(), 1);
     plot.time();
     if (above > 0) {
-      entries(plot, r.record().lead().bySecond());
+      entries(plot, r.record().leadership().bySecond());
     }
     for (int i = 0; i < rows; i++) {
-      Lanes.Lane lane = r.lanes().get(i);
+      ProcessTimeline.Lane lane = r.lanes().get(i);
       int top = 16 + above + ROW * i;
       plot.add(
           "<text class='name' text-anchor='end' x='54' y='%d'>%s</text>",
@@ -179,7 +182,7 @@
       plot.add(
           "<line class='grid' x1='%.1f' x2='%.1f' y1='%d' y2='%d'/>",
           plot.x(0), plot.x(r.script().lengthMs()), top + ROW - 2, top + ROW - 2);
-      for (Lanes.Span span : lane.spans()) {
+      for (ProcessTimeline.Span span : lane.spans()) {
         double from = plot.x(span.fromMs());
         plot.add(
             "<rect fill='%s' fill-opacity='.55' rx='2' x='%.1f' y='%d' width='%.1f' height='%d'>"
@@ -188,7 +191,7 @@
             from,
             top + offset(span.kind()),
             Math.max(3, plot.x(span.toMs()) - from),
-            span.kind() == Lanes.Kind.LEADS ? 3 : ROW / 2 - 2,
+            span.kind() == ProcessTimeline.Kind.LEADS ? 3 : ROW / 2 - 2,
             Html.escape(lane.process() + ": " + span.what()));
       }
     }
@@ -204,7 +207,7 @@
       plot.add(
           "<rect fill='%s' fill-opacity='.4' x='%.1f' y='%.1f' width='%.1f' height='%.1f'>"
               + "<title>%d entries</title></rect>",
-          colour(Lanes.Kind.LEADS),
+          colour(ProcessTimeline.Kind.LEADS),
           from,
           12 + ENTRIES - 8 - height,
           Math.max(1, plot.x((second + 1) * MS) - from - 1),
@@ -214,7 +217,7 @@
   }
 
   /** Where in its lane a bar stands: who leads is a thin line below whatever else there is. */
-  private static int offset(Lanes.Kind kind) {
+  private static int offset(ProcessTimeline.Kind kind) {
     return switch (kind) {
       case OUT, ILL -> 0;
       case LINK -> ROW / 2 - 2;
@@ -222,7 +225,7 @@
     };
   }
 
-  private static String colour(Lanes.Kind kind) {
+  private static String colour(ProcessTimeline.Kind kind) {
     return switch (kind) {
       case OUT -> "#b3261e";
       case ILL -> "#d9a514";
@@ -237,7 +240,7 @@
       add("<span class='key' style='background:%s'></span>%s", part.colour(), part.name());
     }
     add("</p>");
-    double most = r.seconds().stream().mapToDouble(Results.Window::asked).max().orElse(1);
+    double most = r.seconds().stream().mapToDouble(Results.Window::requested).max().orElse(1);
     Plot plot = new Plot(230, r.script().lengthMs(), most);
     plot.axes("a second");
     for (Results.Window w : r.seconds()) {
@@ -353,13 +356,13 @@
     if (!r.faults().isEmpty()) {
       add(
           "<h2>The script</h2><table><tr><th>from</th><th>to</th><th class='left'>what</th><th class='left'>what came of it</th></tr>");
-      for (Results.FaultNote f : r.faults()) {
+      for (Results.FaultSummary f : r.faults()) {
         add(
             "<tr><td>%.1f s</td><td>%.1f s</td><td class='left'>%s</td><td class='left'>%s</td></tr>",
             f.atMs() / MS,
             f.endMs() / MS,
             Html.escape(f.what()),
-            Html.escape(EffectWords.of(f.effects())));
+            Html.escape(FaultEffectText.of(f.effects())));
       }
       add("</table>");
     }
@@ -375,7 +378,7 @@
           "<tr><td>%s</td><td>%d</td><td>%d</td><td>%d</td><td>%d</td><td>%d</td><td>%.0f</td>"
               + "<td>%.0f</td></tr>",
           Html.escape(e.getKey()),
-          c.asked(),
+          c.requested(),
           c.served(),
           c.inTime(),
           c.refused(),
@@ -387,12 +390,12 @@
   }
 
   private void breaches() {
-    if (!r.breaches().isEmpty()) {
+    if (!r.violations().isEmpty()) {
       add("<h2>Breaches</h2>");
-      for (Breach b : r.breaches().stream().limit(MOST_BREACHES).toList()) {
+      for (Violation b : r.violations().stream().limit(MOST_BREACHES).toList()) {
         add(
             "<p><b>%s</b> %s at %.2f s: %s</p><pre>%s</pre>",
-            b.rule().word(),
+            b.rule().reportName(),
             Html.escape(b.txn()),
             b.atMs() / MS,
             Html.escape(b.what()),
--- a/src/main/java/hazelspoke/emulator/report/JsonReport.java
+++ b/src/main/java/hazelspoke/emulator/report/JsonReport.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import hazelspoke.emulator.judge.Breach;
-import hazelspoke.emulator.judge.Effect;
-import hazelspoke.emulator.judge.RecordFigures;
+import hazelspoke.emulator.judge.FaultEffect;
+import hazelspoke.emulator.judge.RecordMetrics;
 import hazelspoke.emulator.judge.Rule;
+import hazelspoke.emulator.judge.Violation;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.util.Map;
@@ -24,16 +24,16 @@
       g.writeStringField("title", r.script().title());
       g.writeNumberField("seed", r.seed());
       g.writeStringField("digest", r.digest());
-      g.writeBooleanField("late", r.late().ranLate());
+      g.writeBooleanField("late", r.emulatorLag().ranLate());
       g.writeObjectFieldStart("lateness");
-      number(g, "arrivals_p99_ms", r.late().arrivalsP99());
-      number(g, "arrivals_max_ms", r.late().arrivalsMax());
-      number(g, "loop_p99_ms", r.late().loopP99());
-      number(g, "loop_max_ms", r.late().loopMax());
+      number(g, "arrivals_p99_ms", r.emulatorLag().arrivalsP99());
+      number(g, "arrivals_max_ms", r.emulatorLag().arrivalsMax());
+      number(g, "loop_p99_ms", r.emulatorLag().loopP99());
+      number(g, "loop_max_ms", r.emulatorLag().loopMax());
       g.writeEndObject();
       g.writeObjectFieldStart("rules");
       for (Map.Entry<Rule, Integer> e : r.rules().entrySet()) {
-        g.writeNumberField(e.getKey().word(), e.getValue());
+        g.writeNumberField(e.getKey().reportName(), e.getValue());
       }
       g.writeEndObject();
       g.writeNumberField("crashes", r.crashes());
@@ -50,7 +50,7 @@
     return out.append('\n').toString();
   }
 
-  private static void record(JsonGenerator g, RecordFigures record) throws IOException {
+  private static void record(JsonGenerator g, RecordMetrics record) throws IOException {
     if (record == null) {
       return;
     }
@@ -59,10 +59,10 @@
     g.writeNumberField("writes", record.writes());
     g.writeNumberField("unknown", record.unknown());
     g.writeNumberField("unanswered", record.unanswered());
-    g.writeNumberField("replaced_disks", record.replaced());
-    g.writeNumberField("entries", record.lead().entries());
-    g.writeNumberField("leaders", record.lead().times());
-    g.writeNumberField("seconds_without_leader", record.lead().secondsWithout());
+    g.writeNumberField("replaced_disks", record.replacedDisks());
+    g.writeNumberField("entries", record.leadership().entries());
+    g.writeNumberField("leaders", record.leadership().leaderChanges());
+    g.writeNumberField("seconds_without_leader", record.leadership().secondsWithout());
     number(g, "longest_gap_ms", record.longestGapMs());
     g.writeEndObject();
   }
@@ -72,7 +72,7 @@
     for (Map.Entry<String, Results.ClassResult> e : r.classes().entrySet()) {
       Results.ClassResult c = e.getValue();
       g.writeObjectFieldStart(e.getKey());
-      g.writeNumberField("asked", c.asked());
+      g.writeNumberField("asked", c.requested());
       g.writeNumberField("served", c.served());
       g.writeNumberField("in_time", c.inTime());
       g.writeNumberField("refused", c.refused());
@@ -91,7 +91,7 @@
       g.writeStartObject();
       g.writeStringField("name", gateway.name());
       g.writeStringField("site", gateway.site());
-      g.writeNumberField("asked", gateway.asked());
+      g.writeNumberField("asked", gateway.requested());
       g.writeNumberField("answered", gateway.answered());
       numbers(g, "cpu", gateway.cpu());
       numbers(g, "memory_mb", gateway.memoryMb());
@@ -106,7 +106,7 @@
     for (Results.Window w : r.windows()) {
       g.writeStartObject();
       number(g, "from_s", w.fromMs() / 1_000);
-      g.writeNumberField("asked", w.asked());
+      g.writeNumberField("asked", w.requested());
       g.writeNumberField("in_time", w.inTime());
       g.writeNumberField("late", w.late());
       g.writeNumberField("refused", w.refused());
@@ -121,21 +121,21 @@
 
   private static void faults(JsonGenerator g, Results r) throws IOException {
     g.writeArrayFieldStart("faults");
-    for (Results.FaultNote f : r.faults()) {
+    for (Results.FaultSummary f : r.faults()) {
       g.writeStartObject();
       number(g, "at_s", f.atMs() / 1_000);
       number(g, "end_s", f.endMs() / 1_000);
       g.writeStringField("what", f.what());
       g.writeArrayFieldStart("hosts");
-      for (Effect e : f.effects()) {
+      for (FaultEffect e : f.effects()) {
         g.writeStartObject();
         g.writeStringField("name", e.host());
-        g.writeNumberField("caught", e.caught());
+        g.writeNumberField("caught", e.affectedRequests());
         g.writeNumberField("served", e.served());
         g.writeNumberField("refused", e.refused());
         g.writeNumberField("failed", e.failed());
-        number(g, "passed_over_ms", e.passedOverMs());
-        number(g, "taken_back_ms", e.takenBackMs());
+        number(g, "passed_over_ms", e.timeToSkipMs());
+        number(g, "taken_back_ms", e.timeToRestoreMs());
         g.writeEndObject();
       }
       g.writeEndArray();
@@ -146,9 +146,9 @@
 
   private static void breaches(JsonGenerator g, Results r) throws IOException {
     g.writeArrayFieldStart("breaches");
-    for (Breach b : r.breaches().stream().limit(MOST_BREACHES).toList()) {
+    for (Violation b : r.violations().stream().limit(MOST_BREACHES).toList()) {
       g.writeStartObject();
-      g.writeStringField("rule", b.rule().word());
+      g.writeStringField("rule", b.rule().reportName());
       number(g, "at_ms", b.atMs());
       g.writeStringField("txn", b.txn());
       g.writeStringField("what", b.what());
--- a/src/main/java/hazelspoke/emulator/report/Tally.java
+++ b/src/main/java/hazelspoke/emulator/report/OutcomeStatistics.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** Counts outcomes by time and by class: a function, whose sums always add up. */
-public final class Tally {
+public final class OutcomeStatistics {
   /** The span of the tables, and the finer one of the plots. */
   public static final double WINDOW_MS = 5_000;
 
@@ -21,7 +21,7 @@
   /**
    * @param outcomes one for each request, by times since the start of the load
    */
-  public Tally(Script script, List<Outcome> outcomes) {
+  public OutcomeStatistics(Script script, List<Outcome> outcomes) {
     this.script = script;
     this.outcomes = List.copyOf(outcomes);
   }
--- a/src/main/java/hazelspoke/emulator/report/Plot.java
+++ b/src/main/java/hazelspoke/emulator/report/Plot.java
@@ -38,8 +38,8 @@
   }
 
   /** Bands for the faults, behind everything; each says on pointing what it is. */
-  void faults(List<Results.FaultNote> faults) {
-    for (Results.FaultNote f : faults) {
+  void faults(List<Results.FaultSummary> faults) {
+    for (Results.FaultSummary f : faults) {
       double from = x(f.atMs());
       double to = Math.max(from + 2, x(f.endMs()));
       add(
--- a/src/main/java/hazelspoke/emulator/report/Lanes.java
+++ b/src/main/java/hazelspoke/emulator/report/ProcessTimeline.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.report;
 
-import hazelspoke.emulator.judge.Ledger;
+import hazelspoke.emulator.judge.EventLog;
 import hazelspoke.emulator.model.LinkName;
 import hazelspoke.emulator.script.Fault;
 import hazelspoke.emulator.script.Fault.Subject;
@@ -15,7 +15,7 @@
  * What was wrong with each process and when: a lane a process. A fault between two processes stands
  * on the lane of either, with whom it cuts that one off from.
  */
-public final class Lanes {
+public final class ProcessTimeline {
   /** How much is wrong. */
   public enum Kind {
     /** Its process did not run, or did not take anybody. */
@@ -40,7 +40,7 @@
 
   private final Map<String, List<Span>> spans = new LinkedHashMap<>();
 
-  private Lanes() {}
+  private ProcessTimeline() {}
 
   /**
    * The lanes of all gateways, and of the hosts that something was wrong with.
@@ -53,14 +53,14 @@
       int gateways,
       List<Fault> faults,
       List<List<String>> struck,
-      List<Ledger.Outage> outages,
+      List<EventLog.Outage> outages,
       Map<String, List<Span>> leads) {
-    Lanes lanes = new Lanes();
+    ProcessTimeline lanes = new ProcessTimeline();
     for (int i = 1; i <= gateways; i++) {
       lanes.spans.put("g" + i, new ArrayList<>());
     }
     leads.forEach((gateway, spans) -> spans.forEach(span -> lanes.add(gateway, span)));
-    for (Ledger.Outage o : outages) {
+    for (EventLog.Outage o : outages) {
       lanes.add("g" + (o.gateway() + 1), new Span(o.from(), o.to(), Kind.OUT, "not serving"));
     }
     for (int i = 0; i < faults.size(); i++) {
--- a/src/main/java/hazelspoke/emulator/report/Results.java
+++ b/src/main/java/hazelspoke/emulator/report/Results.java
@@ -1,9 +1,9 @@
 package hazelspoke.emulator.report;
 
-import hazelspoke.emulator.judge.Breach;
-import hazelspoke.emulator.judge.Effect;
-import hazelspoke.emulator.judge.RecordFigures;
+import hazelspoke.emulator.judge.FaultEffect;
+import hazelspoke.emulator.judge.RecordMetrics;
 import hazelspoke.emulator.judge.Rule;
+import hazelspoke.emulator.judge.Violation;
 import hazelspoke.emulator.script.Script;
 import java.util.Arrays;
 import java.util.EnumMap;
@@ -29,22 +29,22 @@
     List<Window> windows,
     List<Window> seconds,
     Map<String, ClassResult> classes,
-    List<Breach> breaches,
+    List<Violation> violations,
     int crashes,
-    Late late,
+    EmulatorLag emulatorLag,
     List<GatewayResult> gateways,
-    List<FaultNote> faults,
-    List<Lanes.Lane> lanes,
+    List<FaultSummary> faults,
+    List<ProcessTimeline.Lane> lanes,
     List<String> hosts,
     List<int[]> queues,
     long attempts,
     long repeats,
-    RecordFigures record) {
+    RecordMetrics record) {
 
   /** What was asked in a span of time, by the moment it was planned for. */
   public record Window(
       double fromMs,
-      int asked,
+      int requested,
       int inTime,
       int late,
       int refused,
@@ -55,7 +55,7 @@
 
   /** One class over the whole rehearsal; quantiles are of what was served. */
   public record ClassResult(
-      int asked,
+      int requested,
       int served,
       int inTime,
       int refused,
@@ -69,7 +69,7 @@
    *
    * @param ranLate whether the day counts for nothing because of it
    */
-  public record Late(
+  public record EmulatorLag(
       boolean ranLate, double arrivalsP99, double arrivalsMax, double loopP99, double loopMax) {}
 
   /**
@@ -80,15 +80,15 @@
   public record GatewayResult(
       String name,
       String site,
-      int asked,
+      int requested,
       int answered,
       double[] cpu,
       double[] memoryMb,
       double[] descriptors) {}
 
   /** A fault in words, and what it did by the hosts that it struck. */
-  public record FaultNote(double atMs, double endMs, String what, List<Effect> effects) {
-    public FaultNote {
+  public record FaultSummary(double atMs, double endMs, String what, List<FaultEffect> effects) {
+    public FaultSummary {
       effects = List.copyOf(effects);
     }
   }
@@ -99,12 +99,12 @@
     for (Rule rule : Rule.values()) {
       out.put(rule, 0);
     }
-    breaches.forEach(b -> out.merge(b.rule(), 1, Integer::sum));
+    violations.forEach(b -> out.merge(b.rule(), 1, Integer::sum));
     return out;
   }
 
   /** The cores that a gateway had in use, over all of them and their seconds. */
-  public double cores() {
+  public double meanCores() {
     return gateways.stream()
         .flatMapToDouble(g -> Arrays.stream(g.cpu()))
         .filter(c -> !Double.isNaN(c))
@@ -113,7 +113,7 @@
   }
 
   /** The same of the gateway that had the most. */
-  public double mostCores() {
+  public double maxCores() {
     return gateways.stream()
         .mapToDouble(
             g -> Arrays.stream(g.cpu()).filter(c -> !Double.isNaN(c)).average().orElse(Double.NaN))
@@ -122,12 +122,12 @@
   }
 
   /** The most memory that a gateway had, in MB. */
-  public double mostMemoryMb() {
+  public double maxMemoryMb() {
     return most(g -> g.memoryMb());
   }
 
   /** The most descriptors that a gateway had open. */
-  public double mostDescriptors() {
+  public double maxDescriptors() {
     return most(g -> g.descriptors());
   }
 
@@ -140,7 +140,7 @@
   }
 
   /** Whether every rule was kept and no gateway crashed. */
-  public boolean kept() {
-    return breaches.isEmpty() && crashes == 0;
+  public boolean allRulesKept() {
+    return violations.isEmpty() && crashes == 0;
   }
 }
--- a/src/main/java/hazelspoke/emulator/report/TextReport.java
+++ b/src/main/java/hazelspoke/emulator/report/TextReport.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.report;
 
-import hazelspoke.emulator.judge.Breach;
+import hazelspoke.emulator.judge.Violation;
 import java.io.PrintStream;
 import java.util.Arrays;
 import java.util.Locale;
@@ -34,7 +34,7 @@
         "from", "asked", "in time", "late", "refused", "failed", "tries", "p50 ms", "p99 ms", "");
     for (Results.Window w : r.windows()) {
       StringBuilder marks = new StringBuilder();
-      for (Results.FaultNote f : r.faults()) {
+      for (Results.FaultSummary f : r.faults()) {
         double to = w.fromMs() + 5 * MS;
         if (f.atMs() < to && Math.max(f.endMs(), f.atMs() + 1) > w.fromMs()) {
           marks.append(marks.isEmpty() ? "* " : "; ").append(f.what());
@@ -43,7 +43,7 @@
       line(
           "%6.0f s %6d %7d %5d %7d %6d %6d %7s %7s  %s",
           w.fromMs() / MS,
-          w.asked(),
+          w.requested(),
           w.inTime(),
           w.late(),
           w.refused(),
@@ -65,7 +65,7 @@
       line(
           "%-12s %6d %6d %7d %7d %6d %7s %7s %7s",
           e.getKey(),
-          c.asked(),
+          c.requested(),
           c.served(),
           c.inTime(),
           c.refused(),
@@ -80,9 +80,9 @@
   }
 
   private void faults(Results r) {
-    for (Results.FaultNote f : r.faults()) {
+    for (Results.FaultSummary f : r.faults()) {
       if (!f.effects().isEmpty()) {
-        line("%6.1f s  %s: %s", f.atMs() / MS, f.what(), EffectWords.of(f.effects()));
+        line("%6.1f s  %s: %s", f.atMs() / MS, f.what(), FaultEffectText.of(f.effects()));
       }
     }
   }
@@ -97,7 +97,7 @@
           "%-8s %-14s %7d %9d %9s %9s %9s %11s",
           g.name(),
           g.site(),
-          g.asked(),
+          g.requested(),
           g.answered(),
           figure(mean(g.cpu()), "%.2f"),
           figure(max(g.cpu()), "%.2f"),
@@ -120,7 +120,7 @@
     line("%s", head);
     for (Results.Window w : r.windows()) {
       int from = (int) (w.fromMs() / MS);
-      int to = from + (int) (Tally.WINDOW_MS / MS);
+      int to = from + (int) (OutcomeStatistics.WINDOW_MS / MS);
       StringBuilder row = new StringBuilder(String.format(Locale.ROOT, "%6d s", from));
       for (Results.GatewayResult g : r.gateways()) {
         row.append(
@@ -143,27 +143,31 @@
   /** Only the rules, and how late the emulator was. */
   public void verdict(Results r) {
     line("");
-    for (Breach b : r.breaches().stream().limit(MOST_BREACHES).toList()) {
-      line("BROKEN %s: %s at %.0f ms: %s", b.rule().word(), b.txn(), b.atMs(), b.what());
+    for (Violation b : r.violations().stream().limit(MOST_BREACHES).toList()) {
+      line("BROKEN %s: %s at %.0f ms: %s", b.rule().reportName(), b.txn(), b.atMs(), b.what());
       b.details().forEach(d -> line("    %s", d));
     }
-    if (r.breaches().size() > MOST_BREACHES) {
-      line("... and %d more", r.breaches().size() - MOST_BREACHES);
+    if (r.violations().size() > MOST_BREACHES) {
+      line("... and %d more", r.violations().size() - MOST_BREACHES);
     }
     StringBuilder rules = new StringBuilder();
-    r.rules().forEach((rule, n) -> rules.append(' ').append(rule.word()).append(' ').append(n));
+    r.rules()
+        .forEach((rule, n) -> rules.append(' ').append(rule.reportName()).append(' ').append(n));
     line("breaches:%s; crashes %d", rules, r.crashes());
     if (r.record() != null) {
-      line("the fleet's record: %s", r.record().words());
+      line("the fleet's record: %s", r.record().summary());
     }
     line(
         "the emulator's own lateness: arrivals p99 %.1f ms, at most %.1f; its loop p99 %.1f ms, at"
             + " most %.1f",
-        r.late().arrivalsP99(), r.late().arrivalsMax(), r.late().loopP99(), r.late().loopMax());
-    if (r.late().ranLate()) {
+        r.emulatorLag().arrivalsP99(),
+        r.emulatorLag().arrivalsMax(),
+        r.emulatorLag().loopP99(),
+        r.emulatorLag().loopMax());
+    if (r.emulatorLag().ranLate()) {
       line("THE EMULATOR RAN LATE: this rehearsal counts for nothing");
     } else {
-      line(r.kept() ? "all rules kept" : "RULES BROKEN");
+      line(r.allRulesKept() ? "all rules kept" : "RULES BROKEN");
     }
   }
 
--- a/src/main/java/hazelspoke/emulator/run/ApartHosts.java
+++ b/src/main/java/hazelspoke/emulator/run/ApartHosts.java
@@ -1,8 +1,8 @@
 package hazelspoke.emulator.run;
 
-import hazelspoke.emulator.judge.Ledger;
-import hazelspoke.emulator.judge.Ledger.Attempt;
-import hazelspoke.emulator.judge.Ledger.AttemptEnd;
+import hazelspoke.emulator.judge.EventLog;
+import hazelspoke.emulator.judge.EventLog.Attempt;
+import hazelspoke.emulator.judge.EventLog.AttemptEnd;
 import hazelspoke.emulator.model.ServerSpec;
 import hazelspoke.emulator.net.EmulatorLoop;
 import hazelspoke.emulator.net.Ports;
@@ -37,7 +37,7 @@
     this.seed = seed;
   }
 
-  StockHost host(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
+  StockHost host(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, EventLog ledger) {
     return new Apart(stage, spec, address, ledger);
   }
 
@@ -45,12 +45,12 @@
     private final EmulatorLoop stage;
     private final ServerSpec spec;
     private final InetSocketAddress address;
-    private final Ledger ledger;
+    private final EventLog ledger;
     private final Map<String, Attempt> open = new HashMap<>();
     private OsProcess handle;
     private int starts;
 
-    Apart(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
+    Apart(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, EventLog ledger) {
       this.stage = stage;
       this.spec = spec;
       this.address = address;
--- a/src/main/java/hazelspoke/emulator/run/Faults.java
+++ b/src/main/java/hazelspoke/emulator/run/Faults.java
@@ -53,7 +53,7 @@
             progress.accept(describe(fault, struck));
             begin(fault, struck, base);
           });
-      if (fault.kind().lasts()) {
+      if (fault.kind().hasDuration()) {
         stage.at(base + fault.endMs(), () -> end(fault, struck));
       }
     }
--- a/src/main/java/hazelspoke/emulator/run/Fleet.java
+++ b/src/main/java/hazelspoke/emulator/run/Fleet.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.run;
 
-import hazelspoke.emulator.judge.Ledger;
+import hazelspoke.emulator.judge.EventLog;
 import hazelspoke.emulator.model.IdempotencyWindow;
 import hazelspoke.emulator.model.Registry;
 import hazelspoke.emulator.model.Registry.Entry;
@@ -40,7 +40,7 @@
   Fleet(
       EmulatorLoop stage,
       World world,
-      Ledger ledger,
+      EventLog ledger,
       Registry registry,
       Links links,
       ApartHosts apart)
@@ -57,7 +57,7 @@
     for (ServerSpec spec : world.servers()) {
       var address = Ports.free(NET, number++);
       StockHost host =
-          script.fleet().apart().contains(spec.name())
+          script.fleet().separateProcessHosts().contains(spec.name())
               ? apart.host(stage, spec, address, ledger)
               : joined(
                   links,
--- a/src/main/java/hazelspoke/emulator/run/Gateways.java
+++ b/src/main/java/hazelspoke/emulator/run/Gateways.java
@@ -2,7 +2,7 @@
 
 import hazelspoke.agreement.net.OperatorClient;
 import hazelspoke.agreement.record.Command;
-import hazelspoke.emulator.judge.Ledger;
+import hazelspoke.emulator.judge.EventLog;
 import hazelspoke.emulator.model.Registry;
 import hazelspoke.emulator.model.SeededRandom;
 import hazelspoke.emulator.model.World;
@@ -63,7 +63,7 @@
 
   private final EmulatorLoop stage;
   private final World world;
-  private final Ledger ledger;
+  private final EventLog ledger;
   private final Registry registry;
   private final Discovery discovery;
   private final Links links;
@@ -110,7 +110,7 @@
   Gateways(
       EmulatorLoop stage,
       World world,
-      Ledger ledger,
+      EventLog ledger,
       Registry registry,
       Discovery discovery,
       Links links,
--- a/src/main/java/hazelspoke/emulator/run/RecordClients.java
+++ b/src/main/java/hazelspoke/emulator/run/RecordClients.java
@@ -7,7 +7,7 @@
 import hazelspoke.agreement.wire.MalformedException;
 import hazelspoke.emulator.judge.Linearizability;
 import hazelspoke.emulator.judge.Linearizability.Call;
-import hazelspoke.emulator.judge.RecordFigures;
+import hazelspoke.emulator.judge.RecordMetrics;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -46,7 +46,7 @@
   private int writes;
   private int unknown;
   private int unanswered;
-  private RecordFigures figures;
+  private RecordMetrics figures;
 
   RecordClients(List<InetSocketAddress> gateways, int clients, long seed) {
     this.clients = clients;
@@ -65,7 +65,7 @@
   }
 
   /** Ends them and judges what they saw; what is under way counts as not answered. */
-  RecordFigures stop() {
+  RecordMetrics stop() {
     stopping = true;
     try {
       for (Thread thread : threads) {
@@ -86,12 +86,12 @@
             });
         longestGap = Math.max(longestGap, System.nanoTime() - answeredAt);
         figures =
-            new RecordFigures(
+            new RecordMetrics(
                 reads,
                 writes,
                 unknown,
                 unanswered,
-                RecordFigures.Lead.NONE,
+                RecordMetrics.LeadershipMetrics.NONE,
                 0,
                 longestGap / 1e6,
                 wrong);
@@ -158,7 +158,7 @@
     }
     synchronized (this) {
       unknown++;
-      history(key).add(Call.lost(from, -1, value));
+      history(key).add(Call.withUnknownEnd(from, -1, value));
     }
   }
 
--- a/src/main/java/hazelspoke/emulator/run/RecordWatch.java
+++ b/src/main/java/hazelspoke/emulator/run/RecordWatch.java
@@ -3,8 +3,8 @@
 import hazelspoke.agreement.net.OperatorClient;
 import hazelspoke.agreement.wire.Fields;
 import hazelspoke.agreement.wire.MalformedException;
-import hazelspoke.emulator.judge.RecordFigures;
-import hazelspoke.emulator.report.Lanes;
+import hazelspoke.emulator.judge.RecordMetrics;
+import hazelspoke.emulator.report.ProcessTimeline;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -85,10 +85,10 @@
   }
 
   /** When each gateway said that it leads; those that never did are left out. After the end. */
-  Map<String, List<Lanes.Span>> leads() {
-    Map<String, List<Lanes.Span>> out = new HashMap<>();
+  Map<String, List<ProcessTimeline.Span>> leads() {
+    Map<String, List<ProcessTimeline.Span>> out = new HashMap<>();
     for (int g = 0; g < looks.size(); g++) {
-      List<Lanes.Span> spans = new ArrayList<>();
+      List<ProcessTimeline.Span> spans = new ArrayList<>();
       double from = Double.NaN;
       double until = Double.NaN;
       for (Look look : looks.get(g)) {
@@ -110,8 +110,9 @@
     return out;
   }
 
-  private static Lanes.Span span(double from, double until) {
-    return new Lanes.Span(Math.max(0, from), until, Lanes.Kind.LEADS, "says that it leads");
+  private static ProcessTimeline.Span span(double from, double until) {
+    return new ProcessTimeline.Span(
+        Math.max(0, from), until, ProcessTimeline.Kind.LEADS, "says that it leads");
   }
 
   /**
@@ -119,7 +120,7 @@
    *
    * @param lengthMs of the load
    */
-  RecordFigures.Lead lead(double lengthMs) {
+  RecordMetrics.LeadershipMetrics lead(double lengthMs) {
     int seconds = (int) Math.ceil(lengthMs / SECOND_MS);
     long[] index = new long[seconds];
     boolean[] led = new boolean[seconds];
@@ -142,6 +143,6 @@
       without += led[i] ? 0 : 1;
     }
     int leads = leads().values().stream().mapToInt(List::size).sum();
-    return new RecordFigures.Lead(leads, without, before, entries);
+    return new RecordMetrics.LeadershipMetrics(leads, without, before, entries);
   }
 }
--- a/src/main/java/hazelspoke/emulator/run/Rehearsal.java
+++ b/src/main/java/hazelspoke/emulator/run/Rehearsal.java
@@ -1,11 +1,11 @@
 package hazelspoke.emulator.run;
 
-import hazelspoke.emulator.judge.Breach;
-import hazelspoke.emulator.judge.Effect;
-import hazelspoke.emulator.judge.Judge;
-import hazelspoke.emulator.judge.Ledger;
-import hazelspoke.emulator.judge.RecordFigures;
+import hazelspoke.emulator.judge.EventLog;
+import hazelspoke.emulator.judge.FaultEffect;
+import hazelspoke.emulator.judge.RecordMetrics;
 import hazelspoke.emulator.judge.Rule;
+import hazelspoke.emulator.judge.RuleChecker;
+import hazelspoke.emulator.judge.Violation;
 import hazelspoke.emulator.model.Arrival;
 import hazelspoke.emulator.model.Outcome;
 import hazelspoke.emulator.model.Registry;
@@ -17,9 +17,9 @@
 import hazelspoke.emulator.net.Host;
 import hazelspoke.emulator.net.Links;
 import hazelspoke.emulator.net.StockHost;
-import hazelspoke.emulator.report.Lanes;
+import hazelspoke.emulator.report.OutcomeStatistics;
+import hazelspoke.emulator.report.ProcessTimeline;
 import hazelspoke.emulator.report.Results;
-import hazelspoke.emulator.report.Tally;
 import hazelspoke.emulator.script.Fault;
 import hazelspoke.emulator.script.Script;
 import io.netty.channel.EventLoopGroup;
@@ -59,7 +59,7 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EmulatorLoop stage = new EmulatorLoop(group.next());
-  private final Ledger ledger = new Ledger();
+  private final EventLog ledger = new EventLog();
   private final Registry registry = new Registry();
   private final List<Clients> clients = new ArrayList<>();
   private final List<Outcome> outcomes = new ArrayList<>();
@@ -74,7 +74,7 @@
   private RecordClients record;
 
   private RecordWatch watch;
-  private RecordFigures recorded;
+  private RecordMetrics recorded;
 
   /** Null where gateways call hosts directly. */
   private Links links;
@@ -161,12 +161,13 @@
       await();
       if (record != null) {
         watch.stop();
-        recorded = record.stop().with(watch.lead(script.lengthMs()), gateways.replaced());
+        recorded =
+            record.stop().withObservations(watch.lead(script.lengthMs()), gateways.replaced());
       }
       onLoop(gateways::settle);
       gateways.close();
       onLoop(() -> clients.forEach(Clients::close));
-      onLoop(() -> ledger.shift(-base));
+      onLoop(() -> ledger.shiftTimes(-base));
       // On the loop, which still measures itself.
       return stage.loop().submit(this::results).syncUninterruptibly().getNow();
     } finally {
@@ -198,7 +199,7 @@
         script.lengthMs()
             + LEAD_MS
             + TAIL_MS
-            + script.judge().slackMs()
+            + script.checker().slackMs()
             + script.classes().stream()
                 .mapToDouble(Script.RequestClass::deadlineMs)
                 .max()
@@ -275,7 +276,7 @@
   }
 
   private void tell(int window) {
-    double at = base + window * Tally.WINDOW_MS;
+    double at = base + window * OutcomeStatistics.WINDOW_MS;
     if (at > base + script.lengthMs()) {
       return;
     }
@@ -312,20 +313,20 @@
   }
 
   private Results results() {
-    Tally tally = new Tally(script, outcomes);
-    double lateMs = script.judge().lateMs();
-    Results.Late late =
-        new Results.Late(
+    OutcomeStatistics tally = new OutcomeStatistics(script, outcomes);
+    double lateMs = script.checker().lateMs();
+    Results.EmulatorLag late =
+        new Results.EmulatorLag(
             arrivals.p99() > lateMs || beats.p99() > lateMs,
             arrivals.p99(),
             arrivals.max(),
             beats.p99(),
             beats.max());
-    List<Results.FaultNote> faults = new ArrayList<>();
+    List<Results.FaultSummary> faults = new ArrayList<>();
     for (int i = 0; i < script.faults().size(); i++) {
       var fault = script.faults().get(i);
       faults.add(
-          new Results.FaultNote(
+          new Results.FaultSummary(
               fault.atMs(),
               fault.endMs(),
               Faults.describe(fault, world.affected().get(i)),
@@ -339,15 +340,15 @@
         script,
         world.seed(),
         world.digest(),
-        tally.windows(Tally.WINDOW_MS),
-        tally.windows(Tally.PLOT_MS),
+        tally.windows(OutcomeStatistics.WINDOW_MS),
+        tally.windows(OutcomeStatistics.PLOT_MS),
         tally.classes(),
         breaches(),
         gateways.all().stream().mapToInt(g -> g.crashes).sum(),
         late,
         gatewayResults(),
         faults,
-        Lanes.of(
+        ProcessTimeline.of(
             world.gatewaySites().size(),
             script.faults(),
             world.affected(),
@@ -360,25 +361,25 @@
         recorded);
   }
 
-  private List<Breach> breaches() {
-    List<Breach> all = new ArrayList<>(Judge.judge(script, ledger));
+  private List<Violation> breaches() {
+    List<Violation> all = new ArrayList<>(RuleChecker.check(script, ledger));
     if (recorded != null) {
       recorded
-          .wrong()
+          .violations()
           .forEach(
-              what -> all.add(new Breach(Rule.RECORD, script.lengthMs(), "", what, List.of())));
+              what -> all.add(new Violation(Rule.RECORD, script.lengthMs(), "", what, List.of())));
     }
     for (Gateways.Gate gate : gateways.all()) {
       for (String line : gateways.violations(gate)) {
-        all.add(new Breach(Rule.VIOLATION, script.lengthMs(), "", line, List.of()));
+        all.add(new Violation(Rule.VIOLATION, script.lengthMs(), "", line, List.of()));
       }
     }
     return List.copyOf(all);
   }
 
-  private List<Effect> effects(Fault fault, List<String> struck) {
-    return fault.kind().subject() == Fault.Subject.HOSTS && fault.kind().lasts()
-        ? struck.stream().map(h -> Effect.of(ledger, h, fault.atMs(), fault.endMs())).toList()
+  private List<FaultEffect> effects(Fault fault, List<String> struck) {
+    return fault.kind().subject() == Fault.Subject.HOSTS && fault.kind().hasDuration()
+        ? struck.stream().map(h -> FaultEffect.of(ledger, h, fault.atMs(), fault.endMs())).toList()
         : List.of();
   }
 
@@ -386,9 +387,9 @@
     int n = gateways.all().size();
     int[] asked = new int[n];
     int[] answered = new int[n];
-    for (Ledger.Try t : ledger.tries()) {
+    for (EventLog.ClientAttempt t : ledger.clientAttempts()) {
       asked[t.gateway]++;
-      answered[t.gateway] += t.end == Ledger.TryEnd.ANSWERED ? 1 : 0;
+      answered[t.gateway] += t.end == EventLog.ClientAttemptEnd.ANSWERED ? 1 : 0;
     }
     List<Results.GatewayResult> out = new ArrayList<>();
     for (int g = 0; g < n; g++) {
--- a/src/main/java/hazelspoke/emulator/run/StockServerProcess.java
+++ b/src/main/java/hazelspoke/emulator/run/StockServerProcess.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.run;
 
-import hazelspoke.emulator.judge.Ledger.AttemptEnd;
+import hazelspoke.emulator.judge.EventLog.AttemptEnd;
 import hazelspoke.emulator.model.IdempotencyWindow;
 import hazelspoke.emulator.model.ServerSpec;
 import hazelspoke.emulator.model.World;
--- a/src/main/java/hazelspoke/emulator/script/Fault.java
+++ b/src/main/java/hazelspoke/emulator/script/Fault.java
@@ -100,11 +100,11 @@
     LINK_HALF_OPEN(Subject.LINKS, true);
 
     private final Subject subject;
-    private final boolean lasts;
+    private final boolean hasDuration;
 
-    Kind(Subject subject, boolean lasts) {
+    Kind(Subject subject, boolean hasDuration) {
       this.subject = subject;
-      this.lasts = lasts;
+      this.hasDuration = hasDuration;
     }
 
     public Subject subject() {
@@ -112,7 +112,7 @@
     }
 
     /** Whether it strikes what a gateway keeps of the record. */
-    public boolean isOfDisks() {
+    public boolean affectsDisk() {
       return this == DISK_FULL || this == DISK_TORN || losesVote();
     }
 
@@ -122,8 +122,8 @@
     }
 
     /** Whether it has a length. */
-    public boolean lasts() {
-      return lasts;
+    public boolean hasDuration() {
+      return hasDuration;
     }
   }
 
@@ -156,7 +156,7 @@
   }
 
   /** The same elsewhere. */
-  public Fault at(Target other) {
+  public Fault withTarget(Target other) {
     return new Fault(kind, atMs, forMs, other, factor, from, to, silent, every, requestClass, line);
   }
 
--- a/src/main/java/hazelspoke/emulator/script/Script.java
+++ b/src/main/java/hazelspoke/emulator/script/Script.java
@@ -13,7 +13,7 @@
     Load load,
     List<RequestClass> classes,
     Discovery discovery,
-    Judge judge,
+    CheckerSettings checker,
     List<Fault> faults) {
   public Script {
     classes = List.copyOf(classes);
@@ -22,13 +22,13 @@
 
   /** The same with other faults. */
   public Script withFaults(List<Fault> others) {
-    return new Script(title, lengthMs, fleet, load, classes, discovery, judge, others);
+    return new Script(title, lengthMs, fleet, load, classes, discovery, checker, others);
   }
 
   /** The same, so long, with so many gateways, each a process of its own. */
   public Script withProcesses(int gateways, double ms) {
     return new Script(
-        title, ms, fleet.withProcesses(gateways), load, classes, discovery, judge, faults);
+        title, ms, fleet.withProcesses(gateways), load, classes, discovery, checker, faults);
   }
 
   /** The same with a record that so many gateways vote on and so many operators use. */
@@ -40,14 +40,21 @@
         load,
         classes,
         discovery,
-        judge,
+        checker,
         faults);
   }
 
   /** The same incident with other hosts in processes of their own. */
-  public Script withApart(List<String> names) {
+  public Script withSeparateProcessHosts(List<String> names) {
     return new Script(
-        title, lengthMs, fleet.withApart(names), load, classes, discovery, judge, faults);
+        title,
+        lengthMs,
+        fleet.withSeparateProcessHosts(names),
+        load,
+        classes,
+        discovery,
+        checker,
+        faults);
   }
 
   /**
@@ -55,7 +62,7 @@
    * @param dropsCancelled what waits at a host is dropped when its gateway gives it up
    * @param dropsExpired what is over when its turn comes is turned away
    * @param coldMs after which every server is warm, the first ones at 0.42 of it
-   * @param apart names of hosts that run as processes of their own
+   * @param separateProcessHosts names of hosts that run as processes of their own
    * @param voters how many gateways vote on the fleet's record; 0 where it is off
    * @param operators how many use that record all the time, besides the gateways
    */
@@ -72,24 +79,24 @@
       boolean dropsCancelled,
       boolean dropsExpired,
       double coldMs,
-      List<String> apart,
+      List<String> separateProcessHosts,
       int voters,
       int operators) {
     public Fleet {
       sites = List.copyOf(sites);
-      apart = List.copyOf(apart);
+      separateProcessHosts = List.copyOf(separateProcessHosts);
     }
 
     Fleet withProcesses(int number) {
-      return with(number, false, apart, voters, operators);
+      return with(number, false, separateProcessHosts, voters, operators);
     }
 
-    Fleet withApart(List<String> names) {
+    Fleet withSeparateProcessHosts(List<String> names) {
       return with(gateways, inProcess, names, voters, operators);
     }
 
     Fleet withRecord(int voting, int using) {
-      return with(gateways, inProcess, apart, voting, using);
+      return with(gateways, inProcess, separateProcessHosts, voting, using);
     }
 
     private Fleet with(int number, boolean here, List<String> others, int voting, int using) {
@@ -193,5 +200,5 @@
    * @param lateMs a day counts for nothing when one arrival in a hundred, or one look at the clock,
    *     was later than this
    */
-  public record Judge(double slackMs, double lateMs) {}
+  public record CheckerSettings(double slackMs, double lateMs) {}
 }
--- a/src/main/java/hazelspoke/emulator/script/ScriptReader.java
+++ b/src/main/java/hazelspoke/emulator/script/ScriptReader.java
@@ -46,27 +46,27 @@
       String what = first.getMessage().lines().findFirst().orElse("this is no TOML");
       throw new ScriptException(file, first.position().line(), "", what);
     }
-    Table root = new Table(file, "", result, 1);
+    ScriptTable root = new ScriptTable(file, "", result, 1);
     String title = root.text("title", file);
     double lengthMs = millis(root.number("length_s", 1, LONGEST_S));
     Script.Fleet fleet = fleet(root.table("fleet"));
     Script.Load load = load(root.table("load"), lengthMs);
     List<Script.RequestClass> classes = classes(root.tables("class"), root);
     Script.Discovery discovery = discovery(root.table("discovery"));
-    Table judging = root.table("judge");
-    Script.Judge judge =
-        new Script.Judge(
+    ScriptTable judging = root.table("judge");
+    Script.CheckerSettings checker =
+        new Script.CheckerSettings(
             judging.number("slack_ms", 50, 0, 60_000), judging.number("late_ms", 20, 1, 60_000));
-    judging.noOthers();
+    judging.rejectUnknownKeys();
     List<Fault> faults = new ArrayList<>();
-    for (Table table : root.tables("fault")) {
+    for (ScriptTable table : root.tables("fault")) {
       faults.add(fault(table, fleet, classes, lengthMs));
     }
-    root.noOthers();
-    return new Script(title, lengthMs, fleet, load, classes, discovery, judge, faults);
+    root.rejectUnknownKeys();
+    return new Script(title, lengthMs, fleet, load, classes, discovery, checker, faults);
   }
 
-  private static Script.Fleet fleet(Table t) throws ScriptException {
+  private static Script.Fleet fleet(ScriptTable t) throws ScriptException {
     List<String> sites = t.texts("sites", List.of("eldorado"));
     for (String site : sites) {
       if (!site.matches("[a-z0-9-]{1,40}")) {
@@ -102,23 +102,23 @@
     if (fleet.large() + fleet.medium() + fleet.small() <= 0) {
       throw t.fail("large", "expected large, medium and small not all to be 0");
     }
-    for (String name : fleet.apart()) {
+    for (String name : fleet.separateProcessHosts()) {
       requireName(t, "apart", name, "s", fleet.servers());
     }
-    t.noOthers();
+    t.rejectUnknownKeys();
     return fleet;
   }
 
-  private static Script.Load load(Table t, double lengthMs) throws ScriptException {
+  private static Script.Load load(ScriptTable t, double lengthMs) throws ScriptException {
     List<Script.Surge> surges = new ArrayList<>();
     double most = 1;
-    for (Table s : t.tables("surge")) {
+    for (ScriptTable s : t.tables("surge")) {
       surges.add(
           new Script.Surge(
               millis(s.number("at_s", 0, LONGEST_S)),
               millis(s.number("for_s", 0.001, LONGEST_S)),
               s.number("factor", 0, 100)));
-      s.noOthers();
+      s.rejectUnknownKeys();
       most *= Math.max(1, surges.get(surges.size() - 1).factor());
     }
     double rate = t.number("rate", 0.1, 50_000);
@@ -139,11 +139,11 @@
             t.number("slow_share", 0, 0, 1),
             t.number("slow_ms", 1_000, 1, 1_900),
             surges);
-    t.noOthers();
+    t.rejectUnknownKeys();
     return load;
   }
 
-  private static List<Script.RequestClass> classes(List<Table> tables, Table root)
+  private static List<Script.RequestClass> classes(List<ScriptTable> tables, ScriptTable root)
       throws ScriptException {
     if (tables.isEmpty()) {
       return List.of(
@@ -153,7 +153,7 @@
               "dispatch", 0.29, 140, 1, 600, 1_200, 10, Script.Effect.ONCE, 5_000));
     }
     List<Script.RequestClass> out = new ArrayList<>();
-    for (Table t : tables) {
+    for (ScriptTable t : tables) {
       t.require("name", "the class's name");
       String name = t.text("name", "");
       if (!name.matches("[a-z0-9_-]{1,40}")
@@ -171,12 +171,12 @@
               t.number("worth", 1, 0, 1_000),
               t.word("effect", Script.Effect.ONCE, Script.Effect.class),
               t.number("window_ms", 1_500, 1, 60_000)));
-      t.noOthers();
+      t.rejectUnknownKeys();
     }
     return out;
   }
 
-  private static Script.Discovery discovery(Table t) throws ScriptException {
+  private static Script.Discovery discovery(ScriptTable t) throws ScriptException {
     Script.Discovery discovery =
         new Script.Discovery(
             t.word("mode", Script.Mode.ASKED, Script.Mode.class),
@@ -186,17 +186,17 @@
             t.number("lines_per_s", 0, 0, 1e9),
             t.number("call_lines", 40, 0, 1e6),
             t.number("timeout_ms", 1_000, 1, 60_000));
-    t.noOthers();
+    t.rejectUnknownKeys();
     return discovery;
   }
 
   private static Fault fault(
-      Table t, Script.Fleet fleet, List<Script.RequestClass> classes, double lengthMs)
+      ScriptTable t, Script.Fleet fleet, List<Script.RequestClass> classes, double lengthMs)
       throws ScriptException {
     t.require("what", "what goes wrong");
     Kind kind = t.word("what", null, Kind.class);
     double atMs = millis(t.number("at_s", 0, lengthMs / MS));
-    double forMs = kind.lasts() ? millis(t.number("for_s", 0.001, LONGEST_S)) : 0;
+    double forMs = kind.hasDuration() ? millis(t.number("for_s", 0.001, LONGEST_S)) : 0;
     Subject subject = kind.subject();
     Target target = target(t, subject, fleet);
     double factor = 1;
@@ -243,33 +243,33 @@
     }
     checkFits(t, kind, target, fleet);
     int line = t.lineOf("what");
-    t.noOthers();
+    t.rejectUnknownKeys();
     return new Fault(
         kind, atMs, forMs, target, factor, from, to, silent, every, requestClass, line);
   }
 
   /** What a process of its own can be struck by is what a signal can do. */
-  private static void checkFits(Table t, Kind kind, Target target, Script.Fleet fleet)
+  private static void checkFits(ScriptTable t, Kind kind, Target target, Script.Fleet fleet)
       throws ScriptException {
     if ((kind == Kind.GATEWAY_STOP || kind == Kind.GATEWAY_PAUSE) && fleet.inProcess()) {
       throw t.fail("what", "expected gateways to be processes: fleet.in_process must be false");
     }
-    if (kind.isOfDisks() && (fleet.voters() == 0 || fleet.inProcess())) {
+    if (kind.affectsDisk() && (fleet.voters() == 0 || fleet.inProcess())) {
       throw t.fail("what", "expected processes that share a record: fleet.voters is 0");
     }
-    if (kind.subject() == Subject.LINKS && !fleet.apart().isEmpty()) {
+    if (kind.subject() == Subject.LINKS && !fleet.separateProcessHosts().isEmpty()) {
       throw t.fail("what", "expected fleet.apart to be empty: a host that runs apart has no links");
     }
     if (kind.subject() == Subject.HOSTS && kind != Kind.CRASH && kind != Kind.FREEZE) {
       for (String name : target.names()) {
-        if (fleet.apart().contains(name)) {
+        if (fleet.separateProcessHosts().contains(name)) {
           throw t.fail("hosts", name + " runs apart; expected what = crash or freeze there");
         }
       }
     }
   }
 
-  private static Target target(Table t, Subject subject, Script.Fleet fleet)
+  private static Target target(ScriptTable t, Subject subject, Script.Fleet fleet)
       throws ScriptException {
     switch (subject) {
       case HOSTS -> {
@@ -310,7 +310,7 @@
   }
 
   /** One kind of ends of links; empty, for all of them, where nothing is said. */
-  private static List<String> ends(Table t, String key, String letter, int most)
+  private static List<String> ends(ScriptTable t, String key, String letter, int most)
       throws ScriptException {
     List<String> names = t.texts(key, List.of());
     for (String name : names) {
@@ -320,7 +320,7 @@
   }
 
   /** Hosts, and other gateways where these speak to one another. */
-  private static List<String> farEnds(Table t, Script.Fleet fleet) throws ScriptException {
+  private static List<String> farEnds(ScriptTable t, Script.Fleet fleet) throws ScriptException {
     List<String> names = t.texts("to", List.of());
     for (String name : names) {
       boolean gateway = fleet.voters() > 0 && name.startsWith("g");
@@ -334,7 +334,7 @@
     return Math.rint(MS * MS * seconds) / MS;
   }
 
-  private static String site(Table t, Script.Fleet fleet) throws ScriptException {
+  private static String site(ScriptTable t, Script.Fleet fleet) throws ScriptException {
     String site = t.text("site", null);
     if (site != null && !fleet.sites().contains(site)) {
       throw t.fail("site", "expected one of " + String.join(", ", fleet.sites()));
@@ -342,7 +342,7 @@
     return site;
   }
 
-  private static void requireName(Table t, String key, String name, String letter, int most)
+  private static void requireName(ScriptTable t, String key, String name, String letter, int most)
       throws ScriptException {
     if (!name.matches(letter + "[1-9][0-9]{0,3}") || Integer.parseInt(name.substring(1)) > most) {
       throw t.fail(
--- a/src/main/java/hazelspoke/emulator/script/Table.java
+++ b/src/main/java/hazelspoke/emulator/script/ScriptTable.java
@@ -12,14 +12,14 @@
 import org.tomlj.TomlTable;
 
 /** One table of a script, read with checks: every complaint names its file, line and key. */
-final class Table {
+final class ScriptTable {
   private final String file;
   private final String path;
   private final TomlTable table;
   private final int line;
   private final Set<String> known = new HashSet<>();
 
-  Table(String file, String path, TomlTable table, int line) {
+  ScriptTable(String file, String path, TomlTable table, int line) {
     this.file = file;
     this.path = path;
     this.table = table;
@@ -114,19 +114,19 @@
   }
 
   /** A table within this one; an empty one where it is not given. */
-  Table table(String key) throws ScriptException {
+  ScriptTable table(String key) throws ScriptException {
     if (!has(key)) {
-      return new Table(file, join(key), Toml.parse(""), line);
+      return new ScriptTable(file, join(key), Toml.parse(""), line);
     }
     if (table.get(List.of(key)) instanceof TomlTable inner) {
-      return new Table(file, join(key), inner, lineOf(key));
+      return new ScriptTable(file, join(key), inner, lineOf(key));
     }
     throw fail(key, "expected a table");
   }
 
   /** The tables of an array of tables, in the order of the script. */
-  List<Table> tables(String key) throws ScriptException {
-    List<Table> out = new ArrayList<>();
+  List<ScriptTable> tables(String key) throws ScriptException {
+    List<ScriptTable> out = new ArrayList<>();
     if (has(key)) {
       if (!(table.get(List.of(key)) instanceof TomlArray array)) {
         throw fail(key, "expected tables headed [[" + key + "]]");
@@ -136,7 +136,7 @@
           throw fail(key, "expected tables headed [[" + key + "]]");
         }
         out.add(
-            new Table(
+            new ScriptTable(
                 file, join(key) + "[" + (i + 1) + "]", inner, array.inputPositionOf(i).line()));
       }
     }
@@ -144,7 +144,7 @@
   }
 
   /** Refuses keys that nobody asked for: a misspelt one would otherwise be passed over. */
-  void noOthers() throws ScriptException {
+  void rejectUnknownKeys() throws ScriptException {
     for (String key : table.keySet()) {
       if (!known.contains(key)) {
         throw fail(key, "expected one of " + String.join(", ", new TreeSet<>(known)) + " here");
--- a/src/main/java/hazelspoke/emulator/script/ScriptWriter.java
+++ b/src/main/java/hazelspoke/emulator/script/ScriptWriter.java
@@ -22,8 +22,8 @@
     script.classes().forEach(w::requestClass);
     w.discovery(script.discovery());
     w.head("[judge]");
-    w.number("slack_ms", script.judge().slackMs());
-    w.number("late_ms", script.judge().lateMs());
+    w.number("slack_ms", script.checker().slackMs());
+    w.number("late_ms", script.checker().lateMs());
     script.faults().forEach(w::fault);
     return w.out.toString();
   }
@@ -42,7 +42,7 @@
     flag("drops_cancelled", f.dropsCancelled());
     flag("drops_expired", f.dropsExpired());
     seconds("cold_s", f.coldMs());
-    texts("apart", f.apart());
+    texts("apart", f.separateProcessHosts());
     number("voters", f.voters());
     number("operators", f.operators());
   }
@@ -96,7 +96,7 @@
     head("[[fault]]");
     word("what", f.kind());
     seconds("at_s", f.atMs());
-    if (f.kind().lasts()) {
+    if (f.kind().hasDuration()) {
       seconds("for_s", f.forMs());
     }
     target(f);
--- a/src/main/java/hazelspoke/emulator/torment/FaultDraw.java
+++ b/src/main/java/hazelspoke/emulator/torment/FaultDraw.java
@@ -126,7 +126,7 @@
     Fault there = fault(kind, at, forMs, new Target(some, 1, null, null, rest));
     return random.nextInt(3) == 0
         ? List.of(there)
-        : List.of(there, there.at(new Target(rest, 1, null, null, some)));
+        : List.of(there, there.withTarget(new Target(rest, 1, null, null, some)));
   }
 
   private Fault one(double at, double forMs) {
@@ -226,7 +226,7 @@
         // No figures of its own.
       }
     }
-    double lasts = kind.lasts() ? forMs : 0;
+    double lasts = kind.hasDuration() ? forMs : 0;
     return new Fault(kind, at, lasts, target, factor, 0, to, false, every, "", 0);
   }
 }
--- a/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
+++ b/src/test/java/hazelspoke/agreement/member/FleetSimulation.java
@@ -389,7 +389,7 @@
         () -> {
           if (!done[0]) {
             done[0] = true;
-            history.add(Linearizability.Call.lost(from, expected, value));
+            history.add(Linearizability.Call.withUnknownEnd(from, expected, value));
             client();
           }
         });
--- a/src/test/java/hazelspoke/emulator/judge/EffectTest.java
+++ b/src/test/java/hazelspoke/emulator/judge/FaultEffectTest.java
@@ -2,20 +2,20 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hazelspoke.emulator.judge.Ledger.Try;
-import hazelspoke.emulator.judge.Ledger.TryEnd;
+import hazelspoke.emulator.judge.EventLog.ClientAttempt;
+import hazelspoke.emulator.judge.EventLog.ClientAttemptEnd;
 import org.junit.jupiter.api.Test;
 
 /** What a fault did is read from what hosts and clients saw. */
-class EffectTest {
-  private final Ledger ledger = new Ledger();
+class FaultEffectTest {
+  private final EventLog eventLog = new EventLog();
   private int tries;
 
   private void sent(double earliest, double receivedAt, int status) {
-    Try t = ledger.asked("t" + tries++, 0, 0, 0, false, 1e9);
-    t.end = TryEnd.ANSWERED;
+    ClientAttempt t = eventLog.requestStarted("t" + tries++, 0, 0, 0, false, 1e9);
+    t.end = ClientAttemptEnd.ANSWERED;
     t.status = status;
-    ledger.received(t.txn, "s1", 0, receivedAt, earliest);
+    eventLog.received(t.txn, "s1", 0, receivedAt, earliest);
   }
 
   @Test
@@ -26,11 +26,11 @@
     sent(10_010, 10_010, 200);
     sent(10_050, 10_050, 502);
     sent(10_200, 10_200, 503);
-    ledger.received(ledger.asked("x", 0, 0, 0, false, 1e9).txn, "s2", 0, 10_100, 10_100);
+    eventLog.received(eventLog.requestStarted("x", 0, 0, 0, false, 1e9).txn, "s2", 0, 10_100, 10_100);
     sent(12_340, 12_340, 200);
     sent(12_400, 12_400, 200);
-    assertThat(Effect.of(ledger, "s1", 10_000, 12_000))
-        .isEqualTo(new Effect("s1", 3, 1, 1, 1, 300, 340));
+    assertThat(FaultEffect.of(eventLog, "s1", 10_000, 12_000))
+        .isEqualTo(new FaultEffect("s1", 3, 1, 1, 1, 300, 340));
   }
 
   /** All that a stopped process got is read when it goes on, and can have come any time before. */
@@ -40,15 +40,15 @@
     sent(9_995, 12_003, 502);
     sent(9_995, 12_004, 502);
     sent(12_500, 12_500, 200);
-    assertThat(Effect.of(ledger, "s1", 10_000, 12_000))
-        .isEqualTo(new Effect("s1", 2, 0, 0, 2, 2_000, 500));
+    assertThat(FaultEffect.of(eventLog, "s1", 10_000, 12_000))
+        .isEqualTo(new FaultEffect("s1", 2, 0, 0, 2, 2_000, 500));
   }
 
   @Test
   void whereNothingCameThereIsNothingToTellTimesBy() {
-    Effect none = Effect.of(ledger, "s1", 10_000, 12_000);
-    assertThat(none.caught()).isZero();
-    assertThat(none.passedOverMs()).isNaN();
-    assertThat(none.takenBackMs()).isNaN();
+    FaultEffect none = FaultEffect.of(eventLog, "s1", 10_000, 12_000);
+    assertThat(none.affectedRequests()).isZero();
+    assertThat(none.timeToSkipMs()).isNaN();
+    assertThat(none.timeToRestoreMs()).isNaN();
   }
 }
--- a/src/test/java/hazelspoke/emulator/judge/LinearizabilityTest.java
+++ b/src/test/java/hazelspoke/emulator/judge/LinearizabilityTest.java
@@ -30,7 +30,7 @@
 
   @Test
   void aLostWriteMayHaveTakenHoldOrNot() {
-    Call lost = Call.lost(0, 0, "a");
+    Call lost = Call.withUnknownEnd(0, 0, "a");
     Call next = Call.write(20, 30, 0, "b", true, 7);
     assertThat(Linearizability.check(List.of(lost, next))).isNull();
     assertThat(Linearizability.check(List.of(lost, Call.read(10, 12, 4, "a")))).isNull();
@@ -93,7 +93,10 @@
         version += 1 + random.nextInt(3);
         value = "v" + i;
         boolean lost = random.nextInt(6) == 0;
-        out.add(lost ? Call.lost(from, -1, value) : Call.write(from, to, -1, value, true, version));
+        out.add(
+            lost
+                ? Call.withUnknownEnd(from, -1, value)
+                : Call.write(from, to, -1, value, true, version));
       }
     }
     return out;
--- a/src/test/java/hazelspoke/emulator/net/DiscoveryTest.java
+++ b/src/test/java/hazelspoke/emulator/net/DiscoveryTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hazelspoke.emulator.judge.Ledger;
+import hazelspoke.emulator.judge.EventLog;
 import hazelspoke.emulator.model.Registry;
 import hazelspoke.emulator.model.Registry.Entry;
 import hazelspoke.emulator.model.Registry.Status;
@@ -28,7 +28,7 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EmulatorLoop stage = new EmulatorLoop(group.next());
-  private final Ledger ledger = new Ledger();
+  private final EventLog ledger = new EventLog();
   private final Registry registry = new Registry();
   private InetSocketAddress address;
   private Discovery discovery;
@@ -88,7 +88,9 @@
   }
 
   private List<Boolean> told(String host) {
-    return onLoop(() -> ledger.told(0, host).stream().map(Ledger.Told::ready).toList());
+    return onLoop(
+        () ->
+            ledger.notifications(0, host).stream().map(EventLog.HostNotification::ready).toList());
   }
 
   private void awaitTold(String host, Boolean... ready) throws InterruptedException {
@@ -153,7 +155,8 @@
     }
     assertThat(reader(ask("/v1/servers")).readLine()).startsWith("HTTP/1.1 503");
     awaitTold("s2", true, false);
-    assertThat(onLoop(() -> ledger.told(0, "s2").get(1).at()) - at).isGreaterThanOrEqualTo(8_000);
+    assertThat(onLoop(() -> ledger.notifications(0, "s2").get(1).at()) - at)
+        .isGreaterThanOrEqualTo(8_000);
   }
 
   @Test
--- a/src/test/java/hazelspoke/emulator/net/HostTest.java
+++ b/src/test/java/hazelspoke/emulator/net/HostTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import hazelspoke.emulator.judge.Ledger;
-import hazelspoke.emulator.judge.Ledger.AttemptEnd;
+import hazelspoke.emulator.judge.EventLog;
+import hazelspoke.emulator.judge.EventLog.AttemptEnd;
 import hazelspoke.emulator.model.IdempotencyWindow;
 import hazelspoke.emulator.model.ServerSpec;
 import io.netty.channel.EventLoopGroup;
@@ -35,7 +35,7 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EmulatorLoop stage = new EmulatorLoop(group.next());
-  private final Ledger ledger = new Ledger();
+  private final EventLog ledger = new EventLog();
   private Host host;
   private int asked;
 
--- a/src/test/java/hazelspoke/emulator/report/TallyTest.java
+++ b/src/test/java/hazelspoke/emulator/report/OutcomeStatisticsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Whatever happened, the sums add up. */
-class TallyTest {
+class OutcomeStatisticsTest {
   @Property(tries = 200, seed = "1")
   void everyRequestIsCountedOnceByTimeAndByClass(
       @ForAll @IntRange(max = 500) int count, @ForAll long seed) throws Exception {
@@ -31,23 +31,23 @@
               Result.values()[random.nextInt(3)],
               2_000 * random.nextDouble()));
     }
-    Tally tally = new Tally(script, outcomes);
-    List<Results.Window> windows = tally.windows(Tally.WINDOW_MS);
+    OutcomeStatistics tally = new OutcomeStatistics(script, outcomes);
+    List<Results.Window> windows = tally.windows(OutcomeStatistics.WINDOW_MS);
     assertThat(windows).hasSize(5);
-    assertThat(windows.stream().mapToInt(Results.Window::asked).sum()).isEqualTo(count);
-    assertThat(tally.windows(Tally.PLOT_MS)).hasSize(23);
+    assertThat(windows.stream().mapToInt(Results.Window::requested).sum()).isEqualTo(count);
+    assertThat(tally.windows(OutcomeStatistics.PLOT_MS)).hasSize(23);
     for (Results.Window w : windows) {
-      assertThat(w.inTime() + w.late() + w.refused() + w.failed()).isEqualTo(w.asked());
+      assertThat(w.inTime() + w.late() + w.refused() + w.failed()).isEqualTo(w.requested());
     }
     int inTime = 0;
-    int asked = 0;
+    int requested = 0;
     for (Results.ClassResult c : tally.classes().values()) {
-      assertThat(c.served() + c.refused() + c.failed()).isEqualTo(c.asked());
+      assertThat(c.served() + c.refused() + c.failed()).isEqualTo(c.requested());
       assertThat(c.inTime()).isLessThanOrEqualTo(c.served());
       inTime += c.inTime();
-      asked += c.asked();
+      requested += c.requested();
     }
-    assertThat(asked).isEqualTo(count);
+    assertThat(requested).isEqualTo(count);
     assertThat(windows.stream().mapToInt(Results.Window::inTime).sum()).isEqualTo(inTime);
   }
 
--- a/src/test/java/hazelspoke/emulator/run/FleetProcessesTest.java
+++ b/src/test/java/hazelspoke/emulator/run/FleetProcessesTest.java
@@ -35,9 +35,9 @@
 
   private Results play(Script script) throws Exception {
     Results r = RehearsalTest.play(folder, script, TormentTest.processes());
-    assertThat(r.breaches()).isEmpty();
+    assertThat(r.violations()).isEmpty();
     assertThat(r.crashes()).isZero();
-    int asked = r.classes().values().stream().mapToInt(Results.ClassResult::asked).sum();
+    int asked = r.classes().values().stream().mapToInt(Results.ClassResult::requested).sum();
     int served = r.classes().values().stream().mapToInt(Results.ClassResult::served).sum();
     assertThat(served).isGreaterThan(asked / 2);
     return r;
@@ -80,7 +80,7 @@
             + fault("disk_flipped", 26, 1, "gateways = [\"g2\"]");
     Results r = play(read(44, 3, faults));
     assertThat(r.record().writes()).isGreaterThan(40);
-    assertThat(r.record().replaced()).isEqualTo(2);
+    assertThat(r.record().replacedDisks()).isEqualTo(2);
   }
 
   private static String fault(String what, int at, int length, String whom) {
--- a/src/test/java/hazelspoke/emulator/run/RehearsalTest.java
+++ b/src/test/java/hazelspoke/emulator/run/RehearsalTest.java
@@ -72,11 +72,11 @@
   }
 
   static void assertSums(Results r, int asked) {
-    assertThat(r.windows().stream().mapToInt(Results.Window::asked).sum()).isEqualTo(asked);
-    assertThat(r.classes().values().stream().mapToInt(Results.ClassResult::asked).sum())
+    assertThat(r.windows().stream().mapToInt(Results.Window::requested).sum()).isEqualTo(asked);
+    assertThat(r.classes().values().stream().mapToInt(Results.ClassResult::requested).sum())
         .isEqualTo(asked);
     for (Results.Window w : r.windows()) {
-      assertThat(w.inTime() + w.late() + w.refused() + w.failed()).isEqualTo(w.asked());
+      assertThat(w.inTime() + w.late() + w.refused() + w.failed()).isEqualTo(w.requested());
     }
   }
 
@@ -149,7 +149,7 @@
         """
             + WIDE.formatted(5_000, 20, 20);
     Results r = play(script, new LocalGateways());
-    assertThat(r.breaches()).isEmpty();
+    assertThat(r.violations()).isEmpty();
     assertThat(r.crashes()).isZero();
     int asked = World.draw(ScriptReader.read("test", script), 1).arrivals().size();
     assertSums(r, asked);
@@ -190,7 +190,7 @@
         """
             + WIDE.formatted(5_000, 20, 20);
     Results r = play(script, new LocalGateways());
-    assertThat(r.breaches()).isEmpty();
+    assertThat(r.violations()).isEmpty();
     assertSums(r, World.draw(ScriptReader.read("test", script), 1).arrivals().size());
     int served = r.classes().values().stream().mapToInt(Results.ClassResult::served).sum();
     assertThat(served).isPositive();
@@ -230,7 +230,7 @@
           case MAKES_SIX_ATTEMPTS -> List.of(Rule.ATTEMPTS);
         };
     assertThat(r.rules().entrySet().stream().filter(e -> e.getValue() > 0).map(Map.Entry::getKey))
-        .as(() -> String.valueOf(r.breaches().stream().limit(5).toList()))
+        .as(() -> String.valueOf(r.violations().stream().limit(5).toList()))
         .containsExactlyElementsOf(expected);
   }
 }
--- a/src/test/java/hazelspoke/emulator/run/SoakTest.java
+++ b/src/test/java/hazelspoke/emulator/run/SoakTest.java
@@ -81,9 +81,9 @@
     faults.sort(Comparator.comparingDouble(Fault::atMs));
     Script script = fleet.withFaults(faults);
     Results r = RehearsalTest.play(folder, script, TormentTest.processes());
-    assertThat(r.breaches()).as("seed %d", seed).isEmpty();
+    assertThat(r.violations()).as("seed %d", seed).isEmpty();
     assertThat(r.crashes()).isZero();
-    int asked = r.classes().values().stream().mapToInt(Results.ClassResult::asked).sum();
+    int asked = r.classes().values().stream().mapToInt(Results.ClassResult::requested).sum();
     int served = r.classes().values().stream().mapToInt(Results.ClassResult::served).sum();
     assertThat(served).isGreaterThan(asked / 4);
   }
--- a/src/test/java/hazelspoke/emulator/run/TormentTest.java
+++ b/src/test/java/hazelspoke/emulator/run/TormentTest.java
@@ -57,10 +57,10 @@
                 + RehearsalTest.WIDE.formatted(5_000, 20, 20));
     Script script = fleet.withFaults(FaultDraw.draw(fleet, seed));
     Results r = RehearsalTest.play(folder, script, processes());
-    assertThat(r.breaches()).isEmpty();
+    assertThat(r.violations()).isEmpty();
     assertThat(r.crashes()).isZero();
     RehearsalTest.assertSums(r, World.draw(script, 1).arrivals().size());
-    int asked = r.classes().values().stream().mapToInt(Results.ClassResult::asked).sum();
+    int asked = r.classes().values().stream().mapToInt(Results.ClassResult::requested).sum();
     int served = r.classes().values().stream().mapToInt(Results.ClassResult::served).sum();
     assertThat(served).isGreaterThan(asked / 2);
     assertThat(HtmlReport.write(r)).contains("Each process").contains("g3");
@@ -102,7 +102,7 @@
     Results r =
         RehearsalTest.play(
             folder, ScriptReader.read("test", script), new BrokenGateway(BrokenGateway.Fault.NONE));
-    assertThat(r.breaches()).isEmpty();
+    assertThat(r.violations()).isEmpty();
   }
 
   /** What the judge sees through relays is enough to convict. */
--- a/src/test/java/hazelspoke/emulator/script/ScriptReaderTest.java
+++ b/src/test/java/hazelspoke/emulator/script/ScriptReaderTest.java
@@ -40,7 +40,7 @@
         .extracting(Script.RequestClass::name)
         .containsExactly("reserve", "dispatch");
     assertThat(script.fleet().servers()).isEqualTo(12);
-    assertThat(script.judge().slackMs()).isEqualTo(50);
+    assertThat(script.checker().slackMs()).isEqualTo(50);
     assertThat(script.faults()).isEmpty();
   }
 
--- a/src/test/java/hazelspoke/emulator/torment/FaultDrawTest.java
+++ b/src/test/java/hazelspoke/emulator/torment/FaultDrawTest.java
@@ -64,7 +64,7 @@
       assertThat(drawn.stream().filter(Kind::losesVote)).hasSizeLessThan(2);
       kinds.addAll(drawn);
     }
-    assertThat(kinds.stream().filter(Kind::isOfDisks)).hasSize(4);
+    assertThat(kinds.stream().filter(Kind::affectsDisk)).hasSize(4);
   }
 
   /** A script that is printed is the one that was played. */
