--- a/src/test/java/hazelspoke/emulator/judge/FaultEffectTest.java
+++ b/src/test/java/hazelspoke/emulator/judge/FaultEffectTest.java
@@ -26,7 +26,8 @@
     sent(10_010, 10_010, 200);
     sent(10_050, 10_050, 502);
     sent(10_200, 10_200, 503);
-    eventLog.received(eventLog.requestStarted("x", 0, 0, 0, false, 1e9).txn, "s2", 0, 10_100, 10_100);
+    eventLog.received(
+        eventLog.requestStarted("x", 0, 0, 0, false, 1e9).txn, "s2", 0, 10_100, 10_100);
     sent(12_340, 12_340, 200);
     sent(12_400, 12_400, 200);
     assertThat(FaultEffect.of(eventLog, "s1", 10_000, 12_000))
