--- a/src/main/java/hazelspoke/emulator/net/Clients.java
+++ b/src/main/java/hazelspoke/emulator/net/Clients.java
@@ -1,9 +1,9 @@
 package hazelspoke.emulator.net;
 
-import hazelspoke.emulator.judge.Judge;
-import hazelspoke.emulator.judge.Ledger;
-import hazelspoke.emulator.judge.Ledger.Try;
-import hazelspoke.emulator.judge.Ledger.TryEnd;
+import hazelspoke.emulator.judge.EventLog;
+import hazelspoke.emulator.judge.EventLog.ClientAttempt;
+import hazelspoke.emulator.judge.EventLog.ClientAttemptEnd;
+import hazelspoke.emulator.judge.RuleChecker;
 import hazelspoke.emulator.model.Arrival;
 import hazelspoke.emulator.model.Outcome;
 import hazelspoke.emulator.model.Outcome.Result;
@@ -60,7 +60,7 @@
   private final EmulatorLoop emulatorLoop;
   private final Script script;
   private final long seed;
-  private final Ledger ledger;
+  private final EventLog ledger;
   private final List<GatewayEndpoint> endpoints;
   private final int maxConnectionsPerGateway;
   private final Consumer<Outcome> done;
@@ -78,7 +78,7 @@
       EmulatorLoop emulatorLoop,
       Script script,
       long seed,
-      Ledger ledger,
+      EventLog ledger,
       List<GatewayEndpoint> endpoints,
       int maxConnectionsPerGateway,
       Consumer<Outcome> done) {
@@ -238,15 +238,15 @@
     private void unreachable(Connection c) {
       double now = emulatorLoop.now();
       tries++;
-      Try t =
-          ledger.asked(
+      ClientAttempt t =
+          ledger.requestStarted(
               txn(),
               arrival.number(),
               arrival.requestClass(),
               c.endpoint.gateway,
               true,
               deadlineAt);
-      t.end = TryEnd.UNREACHABLE;
+      t.end = ClientAttemptEnd.UNREACHABLE;
       t.endedAt = now;
       retry(false, 0);
     }
@@ -275,8 +275,8 @@
       // The deadline counts from the last byte of the request.
       double deadline = now + bodyDelayMs + remainingMs;
       String txn = txn();
-      Try t =
-          ledger.asked(
+      ClientAttempt t =
+          ledger.requestStarted(
               txn,
               arrival.number(),
               arrival.requestClass(),
@@ -284,7 +284,7 @@
               c.requests == 0,
               deadline);
       c.begin(this, t);
-      t.begunAt = now;
+      t.sendStartedAt = now;
       DefaultFullHttpRequest request = buildRequest(txn, remainingMs);
       if (bodyDelayMs == 0) {
         sendLast(c, t, request);
@@ -308,7 +308,7 @@
       return slow ? script.load().slowMs() * SeededRandom.unit(seed, number, SLOW_BODY_DELAY) : 0;
     }
 
-    private void sendRemainder(Connection c, Try t, ByteBuf body) {
+    private void sendRemainder(Connection c, ClientAttempt t, ByteBuf body) {
       if (c.current == t) {
         sendLast(c, t, new DefaultLastHttpContent(body));
       } else {
@@ -316,7 +316,7 @@
       }
     }
 
-    private void sendLast(Connection c, Try t, HttpContent message) {
+    private void sendLast(Connection c, ClientAttempt t, HttpContent message) {
       c.channel
           .writeAndFlush(message)
           .addListener(
@@ -364,7 +364,7 @@
               : "");
     }
 
-    private void answered(Try t, double retryAfterMs) {
+    private void answered(ClientAttempt t, double retryAfterMs) {
       if (t.served()) {
         finish(Result.SERVED);
       } else if (t.refused()) {
@@ -420,8 +420,8 @@
     private Channel channel;
     private int requests;
     private ClientRequest clientRequest;
-    private Try current;
-    private Try last;
+    private ClientAttempt current;
+    private ClientAttempt last;
     private boolean responseBegun;
     private ScheduledFuture<?> responseTimeout;
 
@@ -435,7 +435,7 @@
           public void channelRead(ChannelHandlerContext ctx, Object message) {
             responseBegun = true;
             if (current == null && last != null) {
-              last.answeredTwice = true;
+              last.hasExtraResponse = true;
             }
             ctx.fireChannelRead(message);
           }
@@ -445,38 +445,39 @@
       this.endpoint = endpoint;
     }
 
-    private void begin(ClientRequest sender, Try t) {
+    private void begin(ClientRequest sender, ClientAttempt t) {
       clientRequest = sender;
       current = t;
       responseBegun = false;
       requests++;
       responseTimeout =
           emulatorLoop.at(
-              Judge.lastMoment(t.deadline, script.judge().slackMs()),
-              () -> end(TryEnd.SILENT, sender, false));
+              RuleChecker.latestResponseTime(t.deadline, script.checker().slackMs()),
+              () -> end(ClientAttemptEnd.SILENT, sender, false));
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-      Try t = current;
+      ClientAttempt t = current;
       ClientRequest sender = clientRequest;
       if (t == null) {
         channel.close();
         return;
       }
       if (!response.decoderResult().isSuccess()) {
-        end(TryEnd.TRUNCATED, sender, false);
+        end(ClientAttemptEnd.TRUNCATED, sender, false);
         return;
       }
       responseTimeout.cancel(false);
       last = t;
       current = null;
       clientRequest = null;
-      t.end = TryEnd.ANSWERED;
+      t.end = ClientAttemptEnd.ANSWERED;
       t.endedAt = emulatorLoop.now();
       t.status = response.status().code();
       if (t.status == 200) {
-        t.maker = Wire.respondingHost(t.txn, response.content().toString(StandardCharsets.UTF_8));
+        t.respondingHost =
+            Wire.respondingHost(t.txn, response.content().toString(StandardCharsets.UTF_8));
       }
       double retryAfter = seconds(response.headers().get(HttpHeaderNames.RETRY_AFTER));
       if (HttpUtil.isKeepAlive(response)) {
@@ -487,7 +488,7 @@
       sender.answered(t, MS_PER_S * retryAfter);
     }
 
-    private void end(TryEnd attemptEnd, ClientRequest sender, boolean mayRaceIdleClose) {
+    private void end(ClientAttemptEnd attemptEnd, ClientRequest sender, boolean mayRaceIdleClose) {
       responseTimeout.cancel(false);
       last = current;
       current.end = attemptEnd;
@@ -506,7 +507,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
       if (current != null) {
         end(
-            responseBegun ? TryEnd.TRUNCATED : TryEnd.CLOSED,
+            responseBegun ? ClientAttemptEnd.TRUNCATED : ClientAttemptEnd.CLOSED,
             clientRequest,
             !responseBegun && requests > 1);
       }
--- a/src/main/java/hazelspoke/emulator/net/Discovery.java
+++ b/src/main/java/hazelspoke/emulator/net/Discovery.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.net;
 
-import hazelspoke.emulator.judge.Ledger;
+import hazelspoke.emulator.judge.EventLog;
 import hazelspoke.emulator.model.CallQueue;
 import hazelspoke.emulator.model.Registry;
 import hazelspoke.emulator.model.Registry.Entry;
@@ -49,7 +49,7 @@
   private static final double MOVED_CONNECTION_GRACE_MS = 1_500;
 
   private final EmulatorLoop emulatorLoop;
-  private final Ledger ledger;
+  private final EventLog ledger;
   private final Registry registry;
   private final Links links;
   private final CallQueue queue;
@@ -65,7 +65,7 @@
    */
   public Discovery(
       EmulatorLoop emulatorLoop,
-      Ledger ledger,
+      EventLog ledger,
       Registry registry,
       Links links,
       Script.Discovery script,
@@ -153,7 +153,7 @@
       emulatorLoop.at(since + extendedWaitMs, () -> assumeInformed(view, changes, since));
     } else {
       for (Entry e : changes) {
-        ledger.told(view.gateway, e.name(), e.status() == Status.READY, emulatorLoop.now());
+        ledger.notified(view.gateway, e.name(), e.status() == Status.READY, emulatorLoop.now());
       }
     }
   }
@@ -207,14 +207,14 @@
       for (String host : List.copyOf(view.listedHosts)) {
         if (!listed.contains(host)) {
           view.listedHosts.remove(host);
-          ledger.told(view.gateway, host, false, emulatorLoop.now());
+          ledger.notified(view.gateway, host, false, emulatorLoop.now());
         }
       }
     }
   }
 
   private void recordEntry(GatewayView view, Entry e) {
-    ledger.told(view.gateway, e.name(), e.status() == Status.READY, emulatorLoop.now());
+    ledger.notified(view.gateway, e.name(), e.status() == Status.READY, emulatorLoop.now());
     if (e.status() == Status.GONE) {
       view.listedHosts.remove(e.name());
     } else {
--- a/src/main/java/hazelspoke/emulator/net/HostSink.java
+++ b/src/main/java/hazelspoke/emulator/net/HostSink.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.net;
 
-import hazelspoke.emulator.judge.Ledger.AttemptEnd;
+import hazelspoke.emulator.judge.EventLog.AttemptEnd;
 
 /**
  * Receives the events that a host observes: the event log, or a channel to it from another process.
