--- a/src/test/java/hazelspoke/emulator/model/LinkStateTest.java
+++ b/src/test/java/hazelspoke/emulator/model/LinkStateTest.java
@@ -12,11 +12,11 @@
 
 class LinkStateTest {
   @Test
-  void theWorstHoldsAndWhateverTheOrderOfEndsAllIsAsBefore() {
+  void combinesActiveFaultsAndRestoresTheInitialStateInAnyOrderOfRemoval() {
     for (int seed = 0; seed < 200; seed++) {
       LinkState state = new LinkState();
       state.setHostAcceptMode(AcceptMode.OPEN);
-      List<Impairment> on =
+      List<Impairment> active =
           new ArrayList<>(
               List.of(
                   Impairment.cut(),
@@ -25,21 +25,23 @@
                   Impairment.silence(false, true),
                   Impairment.delay(30),
                   Impairment.delay(30)));
-      on.forEach(state::add);
+      active.forEach(state::add);
       assertThat(state.delayMs()).isEqualTo(60);
-      Collections.shuffle(on, new Random(seed));
-      while (!on.isEmpty()) {
-        Impairment over = on.remove(0);
-        state.remove(over);
-        state.remove(over);
-        boolean there = on.stream().anyMatch(t -> holds(t, true));
-        boolean back = on.stream().anyMatch(t -> holds(t, false));
-        boolean cut = on.stream().anyMatch(LinkStateTest::refuses);
-        assertThat(state.isBlocked(true)).isEqualTo(there);
-        assertThat(state.isBlocked(false)).isEqualTo(back);
+      Collections.shuffle(active, new Random(seed));
+      while (!active.isEmpty()) {
+        Impairment removed = active.remove(0);
+        state.remove(removed);
+        state.remove(removed);
+        boolean forward = active.stream().anyMatch(t -> blocks(t, true));
+        boolean reverse = active.stream().anyMatch(t -> blocks(t, false));
+        boolean cut = active.stream().anyMatch(LinkStateTest::refuses);
+        assertThat(state.isBlocked(true)).isEqualTo(forward);
+        assertThat(state.isBlocked(false)).isEqualTo(reverse);
         assertThat(state.acceptMode())
             .isEqualTo(
-                cut ? AcceptMode.REFUSING : there || back ? AcceptMode.SILENT : AcceptMode.OPEN);
+                cut
+                    ? AcceptMode.REFUSING
+                    : forward || reverse ? AcceptMode.SILENT : AcceptMode.OPEN);
       }
       assertThat(state.delayMs()).isZero();
       state.setHostAcceptMode(AcceptMode.SILENT);
@@ -47,16 +49,16 @@
     }
   }
 
-  private static boolean holds(Impairment trouble, boolean there) {
-    LinkState alone = new LinkState();
-    alone.add(trouble);
-    return alone.isBlocked(there);
+  private static boolean blocks(Impairment impairment, boolean forward) {
+    LinkState single = new LinkState();
+    single.add(impairment);
+    return single.isBlocked(forward);
   }
 
-  private static boolean refuses(Impairment trouble) {
-    LinkState alone = new LinkState();
-    alone.setHostAcceptMode(AcceptMode.OPEN);
-    alone.add(trouble);
-    return alone.acceptMode() == AcceptMode.REFUSING;
+  private static boolean refuses(Impairment impairment) {
+    LinkState single = new LinkState();
+    single.setHostAcceptMode(AcceptMode.OPEN);
+    single.add(impairment);
+    return single.acceptMode() == AcceptMode.REFUSING;
   }
 }
--- a/src/test/java/hazelspoke/emulator/model/ModelsTest.java
+++ b/src/test/java/hazelspoke/emulator/model/ModelsTest.java
@@ -9,29 +9,29 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The smaller decisions of the emulator, each on a clock of the test's own. */
+/** The smaller models of the emulator, each with a simulated clock. */
 class ModelsTest {
   private static Entry entry(String name, Status status) {
     return new Entry(name, "127.0.0.1:1", "a", "k", 0, status, 0, 0);
   }
 
   @Test
-  void aColdHostFallsByWhatComesWithinTheSpanAndNotByMoreOverLonger() {
-    ColdOverloadDetector calm = new ColdOverloadDetector(3, 3_000);
+  void coldHostFailsFromWorkWithinTheSpanAndNotFromMoreWorkOverALongerTime() {
+    ColdOverloadDetector steady = new ColdOverloadDetector(3, 3_000);
     for (int t = 0; t < 60_000; t += 100) {
-      assertThat(calm.recordWork(290, true, 1, t)).isFalse();
+      assertThat(steady.recordWork(290, true, 1, t)).isFalse();
     }
-    ColdOverloadDetector rushed = new ColdOverloadDetector(3, 3_000);
-    boolean fell = false;
+    ColdOverloadDetector overloaded = new ColdOverloadDetector(3, 3_000);
+    boolean failed = false;
     for (int t = 0; t < 2_900; t += 100) {
-      fell |= rushed.recordWork(t % 200 == 0 ? 500 : 300, t % 200 == 0, 1, t);
+      failed |= overloaded.recordWork(t % 200 == 0 ? 500 : 300, t % 200 == 0, 1, t);
     }
-    assertThat(fell).isTrue();
-    assertThat(rushed.informedShare()).isBetween(0.55, 0.7);
+    assertThat(failed).isTrue();
+    assertThat(overloaded.informedShare()).isBetween(0.55, 0.7);
   }
 
   @Test
-  void newsComesLateInOrderAndIsOvertakenByWhatIsNewer() {
+  void announcementsAreDelayedOrderedAndReplacedByNewerOnes() {
     Registry registry = new Registry();
     registry.put(entry("a", Status.READY));
     registry.put(entry("b", Status.READY));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void callsToDiscoveryWaitTheirTurnOrAreTurnedAway() {
+  void discoveryCallsQueueInOrderOrAreRejected() {
     CallQueue queue = new CallQueue(100, 40, 1_000);
     assertThat(queue.call(10, 0)).isEqualTo(500);
     assertThat(queue.call(10, 0)).isEqualTo(1_000);
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void aKeyRunsOnceWithinItsWindow() {
+  void keyExecutesOnceWithinItsWindow() {
     IdempotencyWindow memory = new IdempotencyWindow(1_500);
     assertThat(memory.recordIfFirst("k", 0)).isTrue();
     assertThat(memory.recordIfFirst("k", 1_500)).isFalse();
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void oneSeedMakesOneWorldAndAnotherAnother() throws Exception {
+  void sameSeedDrawsTheSameWorldAndAnotherSeedADifferentOne() throws Exception {
     String more = "[[fault]]\nwhat = \"crash\"\nat_s = 1\nfor_s = 1\nshare = 0.4\n";
     World world = World.draw(script(more), 7);
     World again = World.draw(script(more), 7);
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void theLoadIsWhatTheScriptSays() throws Exception {
+  void loadFollowsTheScript() throws Exception {
     World world = World.draw(script("[[load.surge]]\nat_s = 30\nfor_s = 30\nfactor = 2\n"), 3);
     List<Arrival> all = world.arrivals();
     assertThat(all).isSortedAccordingTo((a, b) -> Double.compare(a.atMs(), b.atMs()));
@@ -109,34 +109,34 @@
     double work =
         all.stream().filter(a -> a.requestClass() == 0).mapToDouble(Arrival::workMs).sum();
     assertThat(work / reserves).isBetween(95.0, 115.0);
-    // Zipf with exponent 1 over 50 keys: the first has 22 %, the second half of that.
-    double top = all.stream().filter(a -> a.key() == 0).count();
+    // Zipf with exponent 1 over 50 keys: the first key has 22 %, the second half of that.
+    double firstKey = all.stream().filter(a -> a.key() == 0).count();
     double second = all.stream().filter(a -> a.key() == 1).count();
-    assertThat(top / all.size()).isBetween(0.2, 0.25);
-    assertThat(second / top).isBetween(0.42, 0.58);
+    assertThat(firstKey / all.size()).isBetween(0.2, 0.25);
+    assertThat(second / firstKey).isBetween(0.42, 0.58);
   }
 
   @Test
-  void aHeavyTailStrikesItsShareOfItsClassInItsTime() throws Exception {
+  void heavyTailAffectsItsShareOfItsClassDuringItsTime() throws Exception {
     String tail =
         "[[fault]]\nwhat = \"heavy_tail\"\nat_s = 20\nfor_s = 20\nclass = \"dispatch\"\n"
             + "rate = 0.1\nfactor = 1000\n";
-    World calm = World.draw(script(""), 5);
-    World struck = World.draw(script(tail), 5);
+    World steady = World.draw(script(""), 5);
+    World affected = World.draw(script(tail), 5);
     int heavy = 0;
-    int within = 0;
-    for (int i = 0; i < calm.arrivals().size(); i++) {
-      Arrival a = calm.arrivals().get(i);
-      Arrival b = struck.arrivals().get(i);
+    int eligible = 0;
+    for (int i = 0; i < steady.arrivals().size(); i++) {
+      Arrival a = steady.arrivals().get(i);
+      Arrival b = affected.arrivals().get(i);
       assertThat(b.atMs()).isEqualTo(a.atMs());
-      boolean may = a.requestClass() == 1 && a.atMs() >= 20_000 && a.atMs() < 40_000;
-      within += may ? 1 : 0;
+      boolean isEligible = a.requestClass() == 1 && a.atMs() >= 20_000 && a.atMs() < 40_000;
+      eligible += isEligible ? 1 : 0;
       if (b.workMs() != a.workMs()) {
-        assertThat(may).isTrue();
+        assertThat(isEligible).isTrue();
         assertThat(b.workMs() / a.workMs()).isBetween(999.0, 1_001.0);
         heavy++;
       }
     }
-    assertThat((double) heavy / within).isBetween(0.06, 0.14);
+    assertThat((double) heavy / eligible).isBetween(0.06, 0.14);
   }
 }
--- a/src/test/java/hazelspoke/emulator/model/StockServerTest.java
+++ b/src/test/java/hazelspoke/emulator/model/StockServerTest.java
@@ -10,13 +10,13 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** A stock server on a clock of the test's own. */
+/** The model of a stock server with a simulated clock. */
 class StockServerTest {
   private static final double WARM = Double.NEGATIVE_INFINITY;
   private final List<String> ends = new ArrayList<>();
   private int jobs;
 
-  /** Two cores of speed 1 and 2, two waiting places; a key halves the work for a second. */
+  /** Two cores of speed 1 and 2, a queue of two; a cached key halves the work for a second. */
   private static ServerSpec spec() {
     return new ServerSpec(
         "s",
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void coresServeOneEachAtTheirOwnSpeedAndOthersWait() {
+  void eachCoreServesOneRequestAtItsSpeedAndOthersQueue() {
     StockServer server = server(WARM);
     for (int i = 0; i < 5; i++) {
       server.submit(job(null, 100), 0);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void aKeySeenLatelyCostsLessUntilItIsForgottenOrPushedOut() {
+  void recentKeyCostsLessUntilItExpiresOrIsEvicted() {
     StockServer server = server(WARM);
     server.submit(job("k", 100), 0);
     server.advance(100);
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void aColdOneHasAShareThatGrowsToAllOfIt() {
+  void coldServerStartsWithAShareOfItsCapacityThatGrowsToAll() {
     StockServer server = server(0);
     assertThat(server.warmth(0)).isEqualTo(0.5);
     assertThat(server.warmth(500)).isEqualTo(0.75);
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void coresThatStandStillGoOnWhereTheyStood() {
+  void pausedCoresContinueWhereTheyStopped() {
     StockServer server = server(WARM);
     server.submit(job(null, 100), 0);
     server.setPaused(true, 40);
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void whatWaitsIsDroppedWhenGivenUpAndWhatRunsIsNot() {
+  void cancelledRequestIsDroppedWhileQueuedAndNotWhileRunning() {
     StockServer server = server(WARM);
     List<Job> all = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void whatIsOverWhenItsTurnComesIsTurnedAwayAndADrainTakesNothingNew() {
+  void rejectsQueuedRequestsThatExpiredAndNewOnesWhileDraining() {
     StockServer server = server(WARM);
     server.submit(job(null, 100), 0);
     server.submit(job(null, 100), 0);
@@ -141,14 +141,14 @@
             "j2 TURNED_AWAY 10.0", "j1 SERVED 50.0", "late TURNED_AWAY 50.0", "j0 SERVED 100.0");
   }
 
-  /** However seldom its owner looks, the same things end at the same moments. */
+  /** Requests end in the same way and at the same times however rarely the server is advanced. */
   @Property(tries = 300, seed = "1")
-  void aLateCallerChangesNothing(@ForAll long seed) {
-    List<String> often = play(seed, 1);
-    assertThat(play(seed, 500)).as("seed %d", seed).isEqualTo(often);
+  void rareAdvancingDoesNotChangeTheResult(@ForAll long seed) {
+    List<String> frequent = run(seed, 1);
+    assertThat(run(seed, 500)).as("seed %d", seed).isEqualTo(frequent);
   }
 
-  private List<String> play(long seed, double step) {
+  private List<String> run(long seed, double step) {
     ends.clear();
     jobs = 0;
     Random random = new Random(seed);
--- a/src/test/java/hazelspoke/emulator/net/DiscoveryTest.java
+++ b/src/test/java/hazelspoke/emulator/net/DiscoveryTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What discovery says over its sockets, and what counts as told. */
+/** Discovery over real sockets, and when a gateway counts as informed of a change. */
 class DiscoveryTest {
-  private static final int PATIENCE_MS = 30_000;
+  private static final int TIMEOUT_MS = 30_000;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EmulatorLoop emulatorLoop = new EmulatorLoop(group.next());
@@ -33,10 +33,11 @@
   private InetSocketAddress address;
   private Discovery discovery;
 
-  private void open(double mustAskMs, String more) throws Exception {
+  private void open(double maxUnaskedMs, String more) throws Exception {
     Script script = ScriptReader.read("x", "length_s = 9\n[load]\nrate = 1\n" + more);
     address = Ports.free(78, 200);
-    discovery = new Discovery(emulatorLoop, ledger, registry, null, script.discovery(), mustAskMs);
+    discovery =
+        new Discovery(emulatorLoop, ledger, registry, null, script.discovery(), maxUnaskedMs);
     onLoop(
         () -> {
           registry.put(entry("s1", Status.READY));
@@ -46,7 +47,7 @@
           discovery.start();
           return null;
         });
-    // Bound on a later turn of the loop.
+    // The listener is bound in a later event-loop iteration.
     onLoop(() -> null);
   }
 
@@ -63,9 +64,9 @@
     return new Entry(name, "127.0.0.1:1", "a", "k", 0, status, 0, 0);
   }
 
-  private Socket ask(String path) throws IOException {
+  private Socket get(String path) throws IOException {
     Socket socket = new Socket(address.getAddress(), address.getPort());
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(TIMEOUT_MS);
     socket
         .getOutputStream()
         .write(
@@ -78,8 +79,8 @@
         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
   }
 
-  /** The next line with this in it; null when the connection ends before. */
-  private static String until(BufferedReader in, String what) throws IOException {
+  /** Returns the next line that contains the text, or null if the connection ends before. */
+  private static String readLineWith(BufferedReader in, String what) throws IOException {
     String line;
     do {
       line = in.readLine();
@@ -87,59 +88,59 @@
     return line;
   }
 
-  private List<Boolean> told(String host) {
+  private List<Boolean> informed(String host) {
     return onLoop(() -> ledger.told(0, host).stream().map(Ledger.Told::ready).toList());
   }
 
-  private void awaitTold(String host, Boolean... ready) throws InterruptedException {
-    long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-    while (!told(host).equals(List.of(ready))) {
-      assertThat(System.nanoTime()).as("%s of %s", told(host), host).isLessThan(end);
+  private void awaitInformed(String host, Boolean... ready) throws InterruptedException {
+    long end = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+    while (!informed(host).equals(List.of(ready))) {
+      assertThat(System.nanoTime()).as("%s of %s", informed(host), host).isLessThan(end);
       Thread.sleep(5);
     }
   }
 
   @Test
-  void aWatchHearsTheListAndThenWhatChanges() throws Exception {
+  void watchReceivesTheListAndThenEachChange() throws Exception {
     open(1e6, "");
-    try (Socket watch = ask("/v1/servers?watch=1&from=0")) {
+    try (Socket watch = get("/v1/servers?watch=1&from=0")) {
       BufferedReader in = reader(watch);
       assertThat(in.readLine()).isEqualTo("HTTP/1.1 200 OK");
-      assertThat(until(in, "{")).contains("\"snapshot\":true", "\"s1\"", "\"s2\"");
+      assertThat(readLineWith(in, "{")).contains("\"snapshot\":true", "\"s1\"", "\"s2\"");
       onLoop(
           () -> {
             registry.announce(entry("s1", Status.TERMINATING), emulatorLoop.now(), 10);
             return null;
           });
-      assertThat(until(in, "{"))
+      assertThat(readLineWith(in, "{"))
           .contains("\"snapshot\":false", "\"status\":\"Terminating\"")
           .doesNotContain("s2");
-      awaitTold("s1", true, true, false);
+      awaitInformed("s1", true, true, false);
       onLoop(
           () -> {
             discovery.setUnavailable(true);
             return null;
           });
-      assertThat(until(in, "{")).isNull();
-      assertThat(reader(ask("/v1/servers")).readLine()).startsWith("HTTP/1.1 503");
+      assertThat(readLineWith(in, "{")).isNull();
+      assertThat(reader(get("/v1/servers")).readLine()).startsWith("HTTP/1.1 503");
     }
   }
 
   @Test
-  void whoNeverAsksCountsAsTold() throws Exception {
+  void gatewayThatNeverCallsCountsAsInformed() throws Exception {
     open(100, "");
     onLoop(
         () -> {
           registry.announce(entry("s2", Status.GONE), emulatorLoop.now(), 0);
           return null;
         });
-    awaitTold("s2", true, false);
-    assertThat(told("s1")).containsExactly(true);
+    awaitInformed("s2", true, false);
+    assertThat(informed("s1")).containsExactly(true);
   }
 
-  /** It has asked in vain, and may wait four times as long before it asks again. */
+  /** After a failed call a gateway may wait four times as long before the next one. */
   @Test
-  void whoseCallFailedCountsAsToldLater() throws Exception {
+  void gatewayWhoseCallFailedCountsAsInformedLater() throws Exception {
     open(2_000, "");
     double at =
         onLoop(
@@ -151,15 +152,15 @@
     while (onLoop(registry::index) < 2) {
       Thread.sleep(5);
     }
-    assertThat(reader(ask("/v1/servers")).readLine()).startsWith("HTTP/1.1 503");
-    awaitTold("s2", true, false);
+    assertThat(reader(get("/v1/servers")).readLine()).startsWith("HTTP/1.1 503");
+    awaitInformed("s2", true, false);
     assertThat(onLoop(() -> ledger.told(0, "s2").get(1).at()) - at).isGreaterThanOrEqualTo(8_000);
   }
 
   @Test
-  void aFullServiceTurnsCallsAway() throws Exception {
+  void overloadedDiscoveryRejectsCalls() throws Exception {
     open(1e6, "[discovery]\nlines_per_s = 1\ncall_lines = 10\n");
-    assertThat(reader(ask("/v1/servers")).readLine()).startsWith("HTTP/1.1 503");
-    assertThat(reader(ask("/v2/other")).readLine()).startsWith("HTTP/1.1 404");
+    assertThat(reader(get("/v1/servers")).readLine()).startsWith("HTTP/1.1 503");
+    assertThat(reader(get("/v2/other")).readLine()).startsWith("HTTP/1.1 404");
   }
 }
--- a/src/test/java/hazelspoke/emulator/net/HostTest.java
+++ b/src/test/java/hazelspoke/emulator/net/HostTest.java
@@ -25,21 +25,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A stock server over raw sockets: what a gateway gets to see of each state. */
+/** A stock server over raw sockets: what a gateway observes of each state. */
 class HostTest {
-  private static final int PATIENCE_MS = 30_000;
+  private static final int TIMEOUT_MS = 30_000;
 
-  /** As good as for ever: what must not end while a test looks at it. */
-  private static final int LONG_MS = 1_000_000;
+  /** Longer than any test: work that must not end while a test observes it. */
+  private static final int ENDLESS_MS = 1_000_000;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EmulatorLoop emulatorLoop = new EmulatorLoop(group.next());
   private final Ledger ledger = new Ledger();
   private Host host;
-  private int asked;
+  private int requests;
 
-  /** One core, one waiting place, three connections that are closed after 400 ms at rest. */
+  /** One core, a queue of one, three connections that are closed after 400 ms of idle time. */
   private static ServerSpec spec() {
     return new ServerSpec(
         "s1",
@@ -76,10 +76,10 @@
             spec(),
             Ports.free(77, 300),
             new Host.Rules(true, false, 3, 3_000, 0, 1),
-            new IdempotencyWindow(LONG_MS),
+            new IdempotencyWindow(ENDLESS_MS),
             new LedgerSink(ledger));
     onLoop(() -> host.start(false));
-    // Bound on a later turn of the loop.
+    // The listener is bound in a later event-loop iteration.
     onLoop(() -> {});
   }
 
@@ -96,12 +96,12 @@
   private Socket connect() throws IOException {
     InetSocketAddress address = host.address();
     Socket socket = new Socket(address.getAddress(), address.getPort());
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(TIMEOUT_MS);
     return socket;
   }
 
   private String send(Socket socket, double workMs) throws IOException {
-    String txn = "t" + asked++;
+    String txn = "t" + requests++;
     String body = Wire.requestBody(1, workMs);
     write(
         socket,
@@ -118,7 +118,7 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** The head of the next answer and its body. */
+  /** Reads the head and the body of the next response. */
   private static String receive(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
     StringBuilder head = new StringBuilder();
@@ -142,8 +142,8 @@
     return ledger.attempts(txn).get(0).end;
   }
 
-  private void awaitHeld(int count) throws InterruptedException {
-    long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+  private void awaitHeldRequests(int count) throws InterruptedException {
+    long limit = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
     while (emulatorLoop.loop().submit(host::heldRequests).syncUninterruptibly().getNow() != count) {
       assertThat(System.nanoTime()).isLessThan(limit);
       Thread.sleep(5);
@@ -151,11 +151,11 @@
   }
 
   @Test
-  void anAnswerNamesItsRequestAndItsMaker() throws Exception {
+  void responseNamesItsRequestAndItsHost() throws Exception {
     try (Socket socket = connect()) {
       String txn = send(socket, 1);
-      String answer = receive(socket);
-      assertThat(answer).startsWith("HTTP/1.1 200").endsWith(Wire.responseBody(txn, "s1"));
+      String response = receive(socket);
+      assertThat(response).startsWith("HTTP/1.1 200").endsWith(Wire.responseBody(txn, "s1"));
       assertThat(Wire.respondingHost(txn, Wire.responseBody(txn, "s1"))).isEqualTo("s1");
       assertThat(Wire.respondingHost("other", Wire.responseBody(txn, "s1"))).isNull();
       assertThat(Wire.respondingHost(txn, Wire.responseBody(txn, "s1") + "=")).isNull();
@@ -164,14 +164,14 @@
   }
 
   @Test
-  void whatFindsNoPlaceIsTurnedAwayAndSaysSo() throws Exception {
+  void requestBeyondQueueOrConnectionLimitIsRejectedWithHeader() throws Exception {
     try (Socket running = connect();
         Socket waiting = connect();
         Socket third = connect();
         Socket fourth = connect()) {
-      send(running, LONG_MS);
-      send(waiting, LONG_MS);
-      awaitHeld(2);
+      send(running, ENDLESS_MS);
+      send(waiting, ENDLESS_MS);
+      awaitHeldRequests(2);
       String full = send(third, 1);
       assertThat(receive(third)).startsWith("HTTP/1.1 503").contains("X-Turned-Away: 1");
       onLoop(() -> assertThat(end(full)).isEqualTo(AttemptEnd.TURNED_AWAY));
@@ -184,16 +184,16 @@
   }
 
   @Test
-  void onlyWhatRanMakesARepeat() throws Exception {
+  void rejectedRequestLeavesItsKeyUnused() throws Exception {
     try (Socket running = connect();
         Socket waiting = connect();
         Socket keyed = connect()) {
       send(running, 300);
       send(waiting, 1);
-      awaitHeld(2);
+      awaitHeldRequests(2);
       sendKeyed(keyed);
       assertThat(receive(keyed)).startsWith("HTTP/1.1 503");
-      awaitHeld(0);
+      awaitHeldRequests(0);
       sendKeyed(keyed);
       assertThat(receive(keyed)).startsWith("HTTP/1.1 200");
       onLoop(() -> assertThat(host.suppressedDuplicates()).isZero());
@@ -208,7 +208,7 @@
     write(
         socket,
         "POST /reserve HTTP/1.1\r\nHost: h\r\nX-Txn: k"
-            + asked++
+            + requests++
             + "\r\nIdempotency-Key: one\r\nContent-Length: "
             + body.length()
             + "\r\n\r\n"
@@ -216,20 +216,20 @@
   }
 
   @Test
-  void aDrainingOneTurnsAwayAndFinishesWhatItHas() throws Exception {
+  void drainingHostRejectsNewRequestsAndFinishesAcceptedOnes() throws Exception {
     try (Socket first = connect();
         Socket second = connect()) {
-      String had = send(first, 300);
-      awaitHeld(1);
+      String accepted = send(first, 300);
+      awaitHeldRequests(1);
       onLoop(host::drain);
       send(second, 1);
       assertThat(receive(second)).startsWith("HTTP/1.1 503").contains("X-Turned-Away: 1");
-      assertThat(receive(first)).endsWith(Wire.responseBody(had, "s1"));
+      assertThat(receive(first)).endsWith(Wire.responseBody(accepted, "s1"));
     }
   }
 
   @Test
-  void anErrorPromisesNothing() throws Exception {
+  void errorResponseIsNotMarkedAsRejected() throws Exception {
     onLoop(() -> host.setErrorRate(at -> 1));
     try (Socket socket = connect()) {
       send(socket, 1);
@@ -238,7 +238,7 @@
   }
 
   @Test
-  void aBrokenOffAnswerIsHalfAnAnswer() throws Exception {
+  void truncatedResponseEndsWithAReset() throws Exception {
     onLoop(() -> host.setResetRate(1));
     try (Socket socket = connect()) {
       String txn = send(socket, 1);
@@ -254,10 +254,10 @@
   }
 
   @Test
-  void aCrashResetsAndRefusesAndAStartTakesAgain() throws Exception {
+  void crashResetsAndRefusesConnectionsAndAStartAcceptsAgain() throws Exception {
     try (Socket socket = connect()) {
-      String txn = send(socket, LONG_MS);
-      awaitHeld(1);
+      String txn = send(socket, ENDLESS_MS);
+      awaitHeldRequests(1);
       onLoop(host::crash);
       assertThatThrownBy(() -> receive(socket)).isInstanceOf(SocketException.class);
       onLoop(() -> assertThat(end(txn)).isEqualTo(AttemptEnd.RESET));
@@ -268,7 +268,7 @@
   }
 
   private void awaitServed() throws Exception {
-    long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+    long limit = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
     while (true) {
       try (Socket socket = connect()) {
         send(socket, 1);
@@ -283,7 +283,7 @@
   }
 
   @Test
-  void aVanishedOneIsSilentAndNewConnectionsNeverComeUp() throws Exception {
+  void vanishedHostDoesNotRespondAndNewConnectionsAreNeverEstablished() throws Exception {
     try (Socket socket = connect()) {
       send(socket, 1);
       receive(socket);
@@ -293,18 +293,18 @@
       assertThatThrownBy(() -> receive(socket)).isInstanceOf(SocketTimeoutException.class);
       awaitNoConnection();
       onLoop(() -> host.start(true));
-      socket.setSoTimeout(PATIENCE_MS);
+      socket.setSoTimeout(TIMEOUT_MS);
       assertThatThrownBy(() -> receive(socket)).isInstanceOf(SocketException.class);
     }
     awaitServed();
   }
 
   /**
-   * Waits until the system has let go of the listener, which it does when the loop next looks at
-   * its sockets and not with its next task; from then on each new connection is refused.
+   * Waits until the operating system has released the listener, which happens when the loop next
+   * polls its sockets and not with its next task; from then on each new connection is refused.
    */
   private void awaitRefused() throws Exception {
-    long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+    long limit = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
     boolean refused = false;
     while (!refused) {
       try (Socket early = connect()) {
@@ -318,9 +318,9 @@
     }
   }
 
-  /** Refused at first, for as long as the system takes to let go of the listener. */
+  /** Connections are refused at first, until the operating system has released the listener. */
   private void awaitNoConnection() throws Exception {
-    long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+    long limit = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
     while (true) {
       try (Socket socket = new Socket()) {
         socket.connect(host.address(), 300);
@@ -334,31 +334,32 @@
   }
 
   @Test
-  void aFrozenOneAnswersEverythingAtOnceAlsoWhatCameMeanwhile() throws Exception {
+  void frozenHostSendsAllResponsesAfterThawAlsoForRequestsReceivedMeanwhile() throws Exception {
     try (Socket before = connect();
         Socket during = connect();
-        Socket left = connect()) {
+        Socket closing = connect()) {
       String first = send(before, 1_000);
-      awaitHeld(1);
+      awaitHeldRequests(1);
       onLoop(host::freeze);
       String second = send(during, 1);
-      String gone = send(left, 1);
-      // Longer than its work takes, which goes on behind the silence.
+      String cancelled = send(closing, 1);
+      // Longer than the work takes, which goes on while the host is frozen.
       before.setSoTimeout(1_300);
       assertThatThrownBy(() -> receive(before)).isInstanceOf(SocketTimeoutException.class);
-      // As much as came: the one before, behind the silence, and two that wait to be looked at.
-      awaitHeld(3);
-      left.close();
-      awaitEnd(gone, AttemptEnd.GIVEN_UP);
+      // The finished request from before, whose response is deferred, and two that are not read
+      // yet.
+      awaitHeldRequests(3);
+      closing.close();
+      awaitEnd(cancelled, AttemptEnd.GIVEN_UP);
       onLoop(host::thaw);
-      before.setSoTimeout(PATIENCE_MS);
+      before.setSoTimeout(TIMEOUT_MS);
       assertThat(receive(before)).endsWith(Wire.responseBody(first, "s1"));
       assertThat(receive(during)).endsWith(Wire.responseBody(second, "s1"));
     }
   }
 
   private void awaitEnd(String txn, AttemptEnd end) throws InterruptedException {
-    long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+    long limit = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
     while (emulatorLoop.loop().submit(() -> end(txn)).syncUninterruptibly().getNow() != end) {
       assertThat(System.nanoTime()).isLessThan(limit);
       Thread.sleep(5);
@@ -366,7 +367,7 @@
   }
 
   @Test
-  void oneThatRefusesKeepsItsOpenConnections() throws Exception {
+  void refusingHostKeepsItsOpenConnections() throws Exception {
     try (Socket socket = connect()) {
       send(socket, 1);
       receive(socket);
@@ -380,7 +381,7 @@
   }
 
   @Test
-  void probesAreAnsweredAndStrangersAreNot() throws Exception {
+  void respondsToProbesAndNotToRequestsWithoutId() throws Exception {
     try (Socket socket = connect()) {
       write(socket, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
       assertThat(receive(socket)).startsWith("HTTP/1.1 200");
@@ -388,7 +389,7 @@
       assertThat(receive(socket)).matches("(?s).*TEXT err_ps=[0-9.]+, concurrent=[0-9.]+");
       write(socket, "GET /dispatch HTTP/1.1\r\nHost: h\r\n\r\n");
       assertThat(receive(socket)).startsWith("HTTP/1.1 404");
-      // At rest for longer than its time: the host closes it.
+      // The connection was idle for longer than its limit: the host closes it.
       assertThat(socket.getInputStream().read()).isEqualTo(-1);
     }
   }
--- a/src/test/java/hazelspoke/emulator/net/LinkTest.java
+++ b/src/test/java/hazelspoke/emulator/net/LinkTest.java
@@ -26,33 +26,32 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What two processes notice of each fault between them, over sockets of the system's own. */
+/** What two processes observe of each fault on the link between them, over real sockets. */
 class LinkTest {
-  private static final int PATIENCE_MS = 30_000;
+  private static final int TIMEOUT_MS = 30_000;
 
-  /** Long enough for what has not come to count as not coming. */
-  private static final int SILENCE_MS = 300;
+  /** Time after which data that has not arrived counts as blocked. */
+  private static final int BLOCKED_MS = 300;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EmulatorLoop emulatorLoop = new EmulatorLoop(group.next());
-  private final Map<SocketAddress, Link.RelayedConnection> passages = new HashMap<>();
+  private final Map<SocketAddress, Link.RelayedConnection> connections = new HashMap<>();
   private ServerSocket host;
   private Link link;
 
   @BeforeEach
   void open() throws Exception {
     host = new ServerSocket(0, 50, InetAddress.getByName("127.76.0.1"));
-    host.setSoTimeout(PATIENCE_MS);
+    host.setSoTimeout(TIMEOUT_MS);
     link =
         new Link(
             emulatorLoop,
             Ports.free(76, 9_999),
             new InetSocketAddress(host.getInetAddress(), host.getLocalPort()),
-            passages,
+            connections,
             "s1");
-    // Without it the emulatorLoop takes itself for one that stands still, and what is read for long
-    // sent.
+    // Without the monitor the loop counts as stalled, and data it reads as sent long before.
     on(l -> emulatorLoop.monitorLag(late -> {}));
     on(l -> l.setHostAcceptMode(AcceptMode.OPEN));
   }
@@ -77,13 +76,13 @@
     Pair() throws Exception {
       caller = connect();
       called = host.accept();
-      called.setSoTimeout(PATIENCE_MS);
+      called.setSoTimeout(TIMEOUT_MS);
       called.setTcpNoDelay(true);
-      // Known to the relay from end to end.
-      say(caller, 'c');
-      hear(called, 'c');
-      say(called, 'h');
-      hear(caller, 'h');
+      // Makes sure that the relay has connected both ends.
+      send(caller, 'c');
+      receive(called, 'c');
+      send(called, 'h');
+      receive(caller, 'h');
     }
 
     @Override
@@ -93,14 +92,14 @@
     }
   }
 
-  /** The listener of the relay comes up and goes down on turns of the loop. */
+  /** Retries, as the relay opens and closes its listener in event-loop iterations. */
   private Socket connect() throws Exception {
-    long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+    long limit = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
     while (true) {
       Socket socket = new Socket();
       try {
-        socket.connect(link.address(), SILENCE_MS);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.connect(link.address(), BLOCKED_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         return socket;
       } catch (IOException e) {
@@ -112,11 +111,11 @@
   }
 
   private void awaitConnect(Class<? extends IOException> expected) throws Exception {
-    long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+    long limit = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
     while (true) {
       assertThat(System.nanoTime()).as("no %s", expected).isLessThan(limit);
       try (Socket socket = new Socket()) {
-        socket.connect(link.address(), SILENCE_MS);
+        socket.connect(link.address(), BLOCKED_MS);
       } catch (IOException e) {
         if (expected.isInstance(e)) {
           return;
@@ -126,51 +125,53 @@
     }
   }
 
-  private static void say(Socket socket, char what) throws IOException {
+  private static void send(Socket socket, char what) throws IOException {
     socket.getOutputStream().write(what);
   }
 
-  private static void hear(Socket socket, char what) throws IOException {
+  private static void receive(Socket socket, char what) throws IOException {
     assertThat((char) socket.getInputStream().read()).isEqualTo(what);
   }
 
-  private static void hearNothing(Socket socket) throws IOException {
-    socket.setSoTimeout(SILENCE_MS);
+  private static void receiveNothing(Socket socket) throws IOException {
+    socket.setSoTimeout(BLOCKED_MS);
     assertThatThrownBy(() -> socket.getInputStream().read())
         .isInstanceOf(SocketTimeoutException.class);
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(TIMEOUT_MS);
   }
 
-  private static void hearReset(Socket socket) {
+  private static void receiveReset(Socket socket) {
     assertThatThrownBy(() -> socket.getInputStream().read()).isInstanceOf(SocketException.class);
   }
 
   @Test
-  void anEndAndAResetArriveAsWhatTheyAre() throws Exception {
+  void relaysAnEndOfStreamAndAResetUnchanged() throws Exception {
     try (Pair pair = new Pair()) {
-      say(pair.caller, 'x');
+      send(pair.caller, 'x');
       pair.caller.shutdownOutput();
-      hear(pair.called, 'x');
-      assertThat(pair.called.getInputStream().read()).as("an end").isNegative();
-      say(pair.called, 'y');
-      hear(pair.caller, 'y');
+      receive(pair.called, 'x');
+      assertThat(pair.called.getInputStream().read()).as("end of stream to the host").isNegative();
+      send(pair.called, 'y');
+      receive(pair.caller, 'y');
       pair.called.close();
-      assertThat(pair.caller.getInputStream().read()).as("the other end").isNegative();
+      assertThat(pair.caller.getInputStream().read())
+          .as("end of stream to the caller")
+          .isNegative();
     }
     try (Pair pair = new Pair()) {
       pair.called.setSoLinger(true, 0);
       pair.called.close();
-      hearReset(pair.caller);
+      receiveReset(pair.caller);
     }
-    long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-    while (emulatorLoop.loop().submit(passages::size).syncUninterruptibly().getNow() > 0) {
-      assertThat(System.nanoTime()).as("a passage is kept").isLessThan(limit);
+    long limit = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+    while (emulatorLoop.loop().submit(connections::size).syncUninterruptibly().getNow() > 0) {
+      assertThat(System.nanoTime()).as("relayed connection not removed").isLessThan(limit);
       Thread.sleep(5);
     }
   }
 
   @Test
-  void aHostThatRefusesOrHasVanishedIsSeenAsThatThroughTheRelay() throws Exception {
+  void refusingAndVanishedHostsAppearAsSuchThroughTheRelay() throws Exception {
     on(l -> l.setHostAcceptMode(AcceptMode.REFUSING));
     awaitConnect(ConnectException.class);
     on(l -> l.setHostAcceptMode(AcceptMode.SILENT));
@@ -180,132 +181,130 @@
   }
 
   @Test
-  void aCutRefusesAndAResetEndsBothSides() throws Exception {
+  void cutRefusesConnectionsAndResetEndsBothSides() throws Exception {
     Impairment cut = Impairment.cut();
     try (Pair pair = new Pair()) {
       on(l -> l.begin(cut));
       on(Link::reset);
-      hearReset(pair.caller);
-      hearReset(pair.called);
+      receiveReset(pair.caller);
+      receiveReset(pair.called);
       awaitConnect(ConnectException.class);
     }
     on(l -> l.end(cut));
     new Pair().close();
   }
 
-  /** What was said meanwhile arrives once it is over, in order, and so does an end. */
+  /** Data sent while blocked arrives in order afterwards, and so does the end of the stream. */
   @Test
-  void eachDirectionIsSilencedByItself() throws Exception {
-    for (boolean there : new boolean[] {true, false}) {
-      Impairment silence = Impairment.silence(there, !there);
+  void eachDirectionIsBlockedSeparately() throws Exception {
+    for (boolean forward : new boolean[] {true, false}) {
+      Impairment silence = Impairment.silence(forward, !forward);
       try (Pair pair = new Pair()) {
-        Socket lost = there ? pair.caller : pair.called;
-        Socket other = there ? pair.called : pair.caller;
+        Socket sender = forward ? pair.caller : pair.called;
+        Socket receiver = forward ? pair.called : pair.caller;
         on(l -> l.begin(silence));
-        say(lost, '1');
-        say(other, 'o');
-        hear(lost, 'o');
-        hearNothing(other);
-        say(lost, '2');
-        lost.shutdownOutput();
-        hearNothing(other);
+        send(sender, '1');
+        send(receiver, 'o');
+        receive(sender, 'o');
+        receiveNothing(receiver);
+        send(sender, '2');
+        sender.shutdownOutput();
+        receiveNothing(receiver);
         awaitConnect(SocketTimeoutException.class);
         on(l -> l.end(silence));
-        hear(other, '1');
-        hear(other, '2');
-        assertThat(other.getInputStream().read()).isNegative();
+        receive(receiver, '1');
+        receive(receiver, '2');
+        assertThat(receiver.getInputStream().read()).isNegative();
       }
       new Pair().close();
     }
   }
 
   @Test
-  void overASilentWayNoResetIsHeard() throws Exception {
+  void blockedLinkDeliversNoReset() throws Exception {
     Impairment silence = Impairment.silence(true, true);
     try (Pair pair = new Pair()) {
       on(l -> l.begin(silence));
       pair.called.setSoLinger(true, 0);
       pair.called.close();
-      hearNothing(pair.caller);
+      receiveNothing(pair.caller);
       on(l -> l.end(silence));
-      hearReset(pair.caller);
+      receiveReset(pair.caller);
     }
   }
 
   @Test
-  void ofAHalfOpenConnectionTheCallerHearsNothingUntilItIsOver() throws Exception {
+  void callerOfAHalfOpenConnectionIsNotNotifiedUntilTheFaultEnds() throws Exception {
     Runnable[] over = new Runnable[1];
     try (Pair pair = new Pair()) {
       on(l -> over[0] = l.resetHostEnds());
-      hearReset(pair.called);
-      say(pair.caller, 'x');
-      hearNothing(pair.caller);
+      receiveReset(pair.called);
+      send(pair.caller, 'x');
+      receiveNothing(pair.caller);
       new Pair().close();
       on(l -> over[0].run());
-      hearReset(pair.caller);
+      receiveReset(pair.caller);
     }
   }
 
-  /** And the host's reader can tell when that was sent which has come so late. */
+  /** The host can determine when delayed data was sent. */
   @Test
-  void aSlowWayDelaysBytesAndKeepsWhenTheyWereSent() throws Exception {
-    on(l -> l.begin(Impairment.delay(SILENCE_MS)));
+  void slowLinkDelaysBytesAndKeepsTheirSendTime() throws Exception {
+    on(l -> l.begin(Impairment.delay(BLOCKED_MS)));
     try (Pair pair = new Pair()) {
       double before = emulatorLoop.now();
-      say(pair.caller, 'x');
-      hear(pair.called, 'x');
+      send(pair.caller, 'x');
+      receive(pair.called, 'x');
       double after = emulatorLoop.now();
-      assertThat(after - before).isGreaterThanOrEqualTo(SILENCE_MS);
-      assertThat(sentAt(pair)).isLessThanOrEqualTo(after - SILENCE_MS + 1);
+      assertThat(after - before).isGreaterThanOrEqualTo(BLOCKED_MS);
+      assertThat(sentAt(pair)).isLessThanOrEqualTo(after - BLOCKED_MS + 1);
     }
   }
 
-  /**
-   * Nor can the relay know when that was sent which it did not read: at any time of the silence.
-   */
+  /** The relay can't know when data was sent that it did not read: at any time while blocked. */
   @Test
-  void whatWasSentIntoASilenceCountsAsSentWhenThatBegan() throws Exception {
+  void dataSentWhileBlockedCountsAsSentWhenTheBlockBegan() throws Exception {
     Impairment silence = Impairment.silence(true, true);
     try (Pair pair = new Pair()) {
       on(l -> l.begin(silence));
       double begun = emulatorLoop.now();
-      say(pair.caller, 'x');
-      hearNothing(pair.called);
+      send(pair.caller, 'x');
+      receiveNothing(pair.called);
       on(l -> l.end(silence));
-      hear(pair.called, 'x');
+      receive(pair.called, 'x');
       assertThat(sentAt(pair)).isLessThanOrEqualTo(begun);
       double over = emulatorLoop.now();
-      // From then on it knows again; a stall of its own may put that off for a moment.
-      long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+      // From then on send times are known again; a stall of the loop may delay that briefly.
+      long limit = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
       do {
         assertThat(System.nanoTime()).isLessThan(limit);
         Thread.sleep(5);
-        say(pair.caller, 'y');
-        hear(pair.called, 'y');
+        send(pair.caller, 'y');
+        receive(pair.called, 'y');
       } while (sentAt(pair) < over);
       on(l -> l.begin(silence));
       double again = emulatorLoop.now();
-      say(pair.caller, 'z');
+      send(pair.caller, 'z');
       pair.caller.shutdownOutput();
-      hearNothing(pair.called);
+      receiveNothing(pair.called);
       on(l -> l.end(silence));
-      hear(pair.called, 'z');
+      receive(pair.called, 'z');
       assertThat(pair.called.getInputStream().read()).isNegative();
-      assertThat(sentAt(pair)).as("and not when its end was read").isLessThanOrEqualTo(again);
+      assertThat(sentAt(pair)).as("unchanged by the end of the stream").isLessThanOrEqualTo(again);
     }
   }
 
   private double sentAt(Pair pair) {
     return emulatorLoop
         .loop()
-        .submit(() -> passages.get(pair.called.getRemoteSocketAddress()).lastSentAt())
+        .submit(() -> connections.get(pair.called.getRemoteSocketAddress()).lastSentAt())
         .syncUninterruptibly()
         .getNow();
   }
 
-  /** Much more than fits any buffer, against a reader that begins late. */
+  /** Much more data than fits any buffer, with a reader that starts late. */
   @Test
-  void whatIsLargeArrivesWholeAndHoldsUpItsSender() throws Exception {
+  void largeDataArrivesCompleteAndBlocksItsSender() throws Exception {
     byte[] large = new byte[8 << 20];
     new Random(1).nextBytes(large);
     Impairment silence = Impairment.silence(true, true);
@@ -318,15 +317,15 @@
                   pair.caller.getOutputStream().write(large);
                   pair.caller.shutdownOutput();
                 } catch (IOException e) {
-                  // The reader then misses it.
+                  // The reader then detects the missing data.
                 }
               });
       writer.start();
-      writer.join(SILENCE_MS);
-      assertThat(writer.isAlive()).as("nobody takes it yet").isTrue();
+      writer.join(BLOCKED_MS);
+      assertThat(writer.isAlive()).as("writer blocked while nothing is read").isTrue();
       on(l -> l.end(silence));
       assertThat(pair.called.getInputStream().readAllBytes()).isEqualTo(large);
-      writer.join(PATIENCE_MS);
+      writer.join(TIMEOUT_MS);
     }
   }
 }
