--- a/src/main/java/hazelspoke/emulator/net/EmulatorLoop.java
+++ b/src/main/java/hazelspoke/emulator/net/EmulatorLoop.java
@@ -34,7 +34,7 @@
     this(loop, System.nanoTime());
   }
 
-  /** Creates a clock whose origin is the given value of {@link System#nanoTime}. */
+  /** Creates a clock whose 0 is the given value of {@link System#nanoTime}. */
   public EmulatorLoop(EventLoop loop, long originNanos) {
     this.loop = loop;
     this.originNanos = originNanos;
