--- a/src/main/java/hazelspoke/emulator/run/Faults.java
+++ b/src/main/java/hazelspoke/emulator/run/Faults.java
@@ -53,7 +53,7 @@
             progress.accept(describe(fault, affected));
             begin(fault, affected, base);
           });
-      if (fault.kind().lasts()) {
+      if (fault.kind().hasDuration()) {
         emulatorLoop.at(base + fault.endMs(), () -> end(fault, affected));
       }
     }
--- a/src/main/java/hazelspoke/emulator/run/Fleet.java
+++ b/src/main/java/hazelspoke/emulator/run/Fleet.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.run;
 
-import hazelspoke.emulator.judge.Ledger;
+import hazelspoke.emulator.judge.EventLog;
 import hazelspoke.emulator.model.IdempotencyWindow;
 import hazelspoke.emulator.model.Registry;
 import hazelspoke.emulator.model.Registry.Entry;
@@ -40,7 +40,7 @@
   Fleet(
       EmulatorLoop emulatorLoop,
       World world,
-      Ledger ledger,
+      EventLog eventLog,
       Registry registry,
       Links links,
       HostProcesses hostProcesses)
@@ -57,8 +57,8 @@
     for (ServerSpec spec : world.servers()) {
       var address = Ports.free(HOST_NET, number++);
       StockHost host =
-          script.fleet().apart().contains(spec.name())
-              ? hostProcesses.host(emulatorLoop, spec, address, ledger)
+          script.fleet().separateProcessHosts().contains(spec.name())
+              ? hostProcesses.host(emulatorLoop, spec, address, eventLog)
               : connected(
                   links,
                   new Host(
@@ -67,7 +67,7 @@
                       address,
                       rules,
                       idempotencyWindows.get(spec.site()),
-                      new LedgerSink(ledger)));
+                      new LedgerSink(eventLog)));
       hosts.put(spec.name(), host);
     }
   }
--- a/src/main/java/hazelspoke/emulator/run/Gateways.java
+++ b/src/main/java/hazelspoke/emulator/run/Gateways.java
@@ -2,7 +2,7 @@
 
 import hazelspoke.agreement.net.OperatorClient;
 import hazelspoke.agreement.record.Command;
-import hazelspoke.emulator.judge.Ledger;
+import hazelspoke.emulator.judge.EventLog;
 import hazelspoke.emulator.model.Registry;
 import hazelspoke.emulator.model.SeededRandom;
 import hazelspoke.emulator.model.World;
@@ -63,7 +63,7 @@
 
   private final EmulatorLoop emulatorLoop;
   private final World world;
-  private final Ledger ledger;
+  private final EventLog eventLog;
   private final Registry registry;
   private final Discovery discovery;
   private final Links links;
@@ -110,7 +110,7 @@
   Gateways(
       EmulatorLoop emulatorLoop,
       World world,
-      Ledger ledger,
+      EventLog eventLog,
       Registry registry,
       Discovery discovery,
       Links links,
@@ -119,7 +119,7 @@
       throws IOException {
     this.emulatorLoop = emulatorLoop;
     this.world = world;
-    this.ledger = ledger;
+    this.eventLog = eventLog;
     this.registry = registry;
     this.discovery = discovery;
     this.links = links;
@@ -364,7 +364,7 @@
 
   private void markRestarted(GatewayProcess gateway) {
     gateway.expectedUp = true;
-    ledger.outage(gateway.endpoint.gateway(), gateway.downSince, emulatorLoop.now());
+    eventLog.outage(gateway.endpoint.gateway(), gateway.downSince, emulatorLoop.now());
     gateway.downSince = Double.NaN;
     discovery.gatewayRestarted(gateway.endpoint.gateway());
     gateway.endpoint.setInRotation(true);
@@ -412,7 +412,8 @@
   /** Sends SIGCONT. */
   void resume(GatewayProcess gateway) {
     signal(gateway, Signal.CONT);
-    ledger.outage(gateway.endpoint.gateway(), gateway.downSince, emulatorLoop.now() + CATCH_UP_MS);
+    eventLog.outage(
+        gateway.endpoint.gateway(), gateway.downSince, emulatorLoop.now() + CATCH_UP_MS);
     gateway.downSince = Double.NaN;
     emulatorLoop.at(emulatorLoop.now() + CATCH_UP_MS, () -> gateway.endpoint.setInRotation(true));
   }
@@ -480,7 +481,7 @@
   void recordOpenOutages() {
     for (GatewayProcess gateway : gateways) {
       if (!Double.isNaN(gateway.downSince)) {
-        ledger.outage(gateway.endpoint.gateway(), gateway.downSince, Double.POSITIVE_INFINITY);
+        eventLog.outage(gateway.endpoint.gateway(), gateway.downSince, Double.POSITIVE_INFINITY);
       }
     }
   }
--- a/src/main/java/hazelspoke/emulator/run/HostProcesses.java
+++ b/src/main/java/hazelspoke/emulator/run/HostProcesses.java
@@ -1,8 +1,8 @@
 package hazelspoke.emulator.run;
 
-import hazelspoke.emulator.judge.Ledger;
-import hazelspoke.emulator.judge.Ledger.Attempt;
-import hazelspoke.emulator.judge.Ledger.AttemptEnd;
+import hazelspoke.emulator.judge.EventLog;
+import hazelspoke.emulator.judge.EventLog.Attempt;
+import hazelspoke.emulator.judge.EventLog.AttemptEnd;
 import hazelspoke.emulator.model.ServerSpec;
 import hazelspoke.emulator.net.EmulatorLoop;
 import hazelspoke.emulator.net.Ports;
@@ -38,25 +38,25 @@
   }
 
   StockHost host(
-      EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
-    return new HostProcess(emulatorLoop, spec, address, ledger);
+      EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, EventLog eventLog) {
+    return new HostProcess(emulatorLoop, spec, address, eventLog);
   }
 
   private final class HostProcess implements StockHost {
     private final EmulatorLoop emulatorLoop;
     private final ServerSpec spec;
     private final InetSocketAddress address;
-    private final Ledger ledger;
+    private final EventLog eventLog;
     private final Map<String, Attempt> openAttempts = new HashMap<>();
     private OsProcess osProcess;
     private int starts;
 
     HostProcess(
-        EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, Ledger ledger) {
+        EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, EventLog eventLog) {
       this.emulatorLoop = emulatorLoop;
       this.spec = spec;
       this.address = address;
-      this.ledger = ledger;
+      this.eventLog = eventLog;
     }
 
     @Override
@@ -128,7 +128,7 @@
       if (words[0].equals("received")) {
         openAttempts.put(
             id,
-            ledger.received(
+            eventLog.received(
                 words[2],
                 spec.name(),
                 spec.group(),
--- a/src/main/java/hazelspoke/emulator/run/RecordClients.java
+++ b/src/main/java/hazelspoke/emulator/run/RecordClients.java
@@ -7,7 +7,7 @@
 import hazelspoke.agreement.wire.MalformedException;
 import hazelspoke.emulator.judge.Linearizability;
 import hazelspoke.emulator.judge.Linearizability.Call;
-import hazelspoke.emulator.judge.RecordFigures;
+import hazelspoke.emulator.judge.RecordMetrics;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -45,7 +45,7 @@
   private int writes;
   private int unknown;
   private int unanswered;
-  private RecordFigures figures;
+  private RecordMetrics metrics;
 
   RecordClients(List<InetSocketAddress> gateways, int clients, long seed) {
     this.clients = clients;
@@ -64,7 +64,7 @@
   }
 
   /** Stops the clients and checks their histories; open calls count as unanswered. */
-  RecordFigures stop() {
+  RecordMetrics stop() {
     stopping = true;
     try {
       for (Thread thread : threads) {
@@ -74,7 +74,7 @@
       Thread.currentThread().interrupt();
     }
     synchronized (this) {
-      if (figures == null) {
+      if (metrics == null) {
         List<String> errors = new ArrayList<>();
         histories.forEach(
             (key, history) -> {
@@ -84,18 +84,18 @@
               }
             });
         longestGapNanos = Math.max(longestGapNanos, System.nanoTime() - lastAnswerNanos);
-        figures =
-            new RecordFigures(
+        metrics =
+            new RecordMetrics(
                 reads,
                 writes,
                 unknown,
                 unanswered,
-                RecordFigures.Lead.NONE,
+                RecordMetrics.LeadershipMetrics.NONE,
                 0,
                 longestGapNanos / 1e6,
                 errors);
       }
-      return figures;
+      return metrics;
     }
   }
 
@@ -157,7 +157,7 @@
     }
     synchronized (this) {
       unknown++;
-      historyOf(key).add(Call.lost(from, -1, value));
+      historyOf(key).add(Call.withUnknownEnd(from, -1, value));
     }
   }
 
--- a/src/main/java/hazelspoke/emulator/run/RecordMonitor.java
+++ b/src/main/java/hazelspoke/emulator/run/RecordMonitor.java
@@ -3,8 +3,8 @@
 import hazelspoke.agreement.net.OperatorClient;
 import hazelspoke.agreement.wire.Fields;
 import hazelspoke.agreement.wire.MalformedException;
-import hazelspoke.emulator.judge.RecordFigures;
-import hazelspoke.emulator.report.Lanes;
+import hazelspoke.emulator.judge.RecordMetrics;
+import hazelspoke.emulator.report.ProcessTimeline;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -89,10 +89,10 @@
   /**
    * Returns the spans in which each gateway reported itself as leader. Call after {@link #stop}.
    */
-  Map<String, List<Lanes.Span>> leads() {
-    Map<String, List<Lanes.Span>> out = new HashMap<>();
+  Map<String, List<ProcessTimeline.Span>> leads() {
+    Map<String, List<ProcessTimeline.Span>> out = new HashMap<>();
     for (int g = 0; g < statuses.size(); g++) {
-      List<Lanes.Span> spans = new ArrayList<>();
+      List<ProcessTimeline.Span> spans = new ArrayList<>();
       double from = Double.NaN;
       double until = Double.NaN;
       for (Status observed : statuses.get(g)) {
@@ -114,8 +114,9 @@
     return out;
   }
 
-  private static Lanes.Span span(double from, double until) {
-    return new Lanes.Span(Math.max(0, from), until, Lanes.Kind.LEADS, "says that it leads");
+  private static ProcessTimeline.Span span(double from, double until) {
+    return new ProcessTimeline.Span(
+        Math.max(0, from), until, ProcessTimeline.Kind.LEADS, "says that it leads");
   }
 
   /**
@@ -123,7 +124,7 @@
    *
    * @param lengthMs of the load
    */
-  RecordFigures.Lead lead(double lengthMs) {
+  RecordMetrics.LeadershipMetrics lead(double lengthMs) {
     int seconds = (int) Math.ceil(lengthMs / MS_PER_S);
     long[] index = new long[seconds];
     boolean[] led = new boolean[seconds];
@@ -146,6 +147,6 @@
       secondsWithoutLeader += led[i] ? 0 : 1;
     }
     int leads = leads().values().stream().mapToInt(List::size).sum();
-    return new RecordFigures.Lead(leads, secondsWithoutLeader, before, entries);
+    return new RecordMetrics.LeadershipMetrics(leads, secondsWithoutLeader, before, entries);
   }
 }
--- a/src/main/java/hazelspoke/emulator/run/Rehearsal.java
+++ b/src/main/java/hazelspoke/emulator/run/Rehearsal.java
@@ -1,11 +1,11 @@
 package hazelspoke.emulator.run;
 
-import hazelspoke.emulator.judge.Breach;
-import hazelspoke.emulator.judge.Effect;
-import hazelspoke.emulator.judge.Judge;
-import hazelspoke.emulator.judge.Ledger;
-import hazelspoke.emulator.judge.RecordFigures;
+import hazelspoke.emulator.judge.EventLog;
+import hazelspoke.emulator.judge.FaultEffect;
+import hazelspoke.emulator.judge.RecordMetrics;
 import hazelspoke.emulator.judge.Rule;
+import hazelspoke.emulator.judge.RuleChecker;
+import hazelspoke.emulator.judge.Violation;
 import hazelspoke.emulator.model.Arrival;
 import hazelspoke.emulator.model.Outcome;
 import hazelspoke.emulator.model.Registry;
@@ -17,9 +17,9 @@
 import hazelspoke.emulator.net.Host;
 import hazelspoke.emulator.net.Links;
 import hazelspoke.emulator.net.StockHost;
-import hazelspoke.emulator.report.Lanes;
+import hazelspoke.emulator.report.OutcomeStatistics;
+import hazelspoke.emulator.report.ProcessTimeline;
 import hazelspoke.emulator.report.Results;
-import hazelspoke.emulator.report.Tally;
 import hazelspoke.emulator.script.Fault;
 import hazelspoke.emulator.script.Script;
 import io.netty.channel.EventLoopGroup;
@@ -59,7 +59,7 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EmulatorLoop emulatorLoop = new EmulatorLoop(group.next());
-  private final Ledger ledger = new Ledger();
+  private final EventLog eventLog = new EventLog();
   private final Registry registry = new Registry();
   private final List<Clients> clients = new ArrayList<>();
   private final List<Outcome> outcomes = new ArrayList<>();
@@ -74,7 +74,7 @@
   private RecordClients recordClients;
 
   private RecordMonitor monitor;
-  private RecordFigures recordFigures;
+  private RecordMetrics recordMetrics;
 
   /** Null if gateways call hosts directly. */
   private Links links;
@@ -120,11 +120,11 @@
     }
     Discovery discovery =
         new Discovery(
-            emulatorLoop, ledger, registry, links, script.discovery(), ConfigFile.MUST_ASK_MS);
+            emulatorLoop, eventLog, registry, links, script.discovery(), ConfigFile.MUST_ASK_MS);
     try {
-      fleet = new Fleet(emulatorLoop, world, ledger, registry, links, hostProcesses);
+      fleet = new Fleet(emulatorLoop, world, eventLog, registry, links, hostProcesses);
       gateways =
-          new Gateways(emulatorLoop, world, ledger, registry, discovery, links, launcher, folder);
+          new Gateways(emulatorLoop, world, eventLog, registry, discovery, links, launcher, folder);
       if (sharesRecord) {
         emulatorLoop
             .loop()
@@ -169,13 +169,15 @@
       await();
       if (recordClients != null) {
         monitor.stop();
-        recordFigures =
-            recordClients.stop().with(monitor.lead(script.lengthMs()), gateways.replacedDisks());
+        recordMetrics =
+            recordClients
+                .stop()
+                .withObservations(monitor.lead(script.lengthMs()), gateways.replacedDisks());
       }
       onLoop(gateways::recordOpenOutages);
       gateways.close();
       onLoop(() -> clients.forEach(Clients::close));
-      onLoop(() -> ledger.shift(-startMs));
+      onLoop(() -> eventLog.shiftTimes(-startMs));
       // Runs on the loop, as the lag monitor still updates its samples there.
       return emulatorLoop.loop().submit(this::results).syncUninterruptibly().getNow();
     } finally {
@@ -207,7 +209,7 @@
         script.lengthMs()
             + START_DELAY_MS
             + DEADLINE_SLACK_MS
-            + script.judge().slackMs()
+            + script.checker().slackMs()
             + script.classes().stream()
                 .mapToDouble(Script.RequestClass::deadlineMs)
                 .max()
@@ -234,7 +236,7 @@
               emulatorLoop,
               script,
               world.seed(),
-              ledger,
+              eventLog,
               endpoints,
               script.fleet().sockets() / 3,
               this::onOutcome));
@@ -286,7 +288,7 @@
   }
 
   private void scheduleProgress(int window) {
-    double at = startMs + window * Tally.WINDOW_MS;
+    double at = startMs + window * OutcomeStatistics.WINDOW_MS;
     if (at > startMs + script.lengthMs()) {
       return;
     }
@@ -323,20 +325,20 @@
   }
 
   private Results results() {
-    Tally tally = new Tally(script, outcomes);
-    double lateMs = script.judge().lateMs();
-    Results.Late late =
-        new Results.Late(
+    OutcomeStatistics statistics = new OutcomeStatistics(script, outcomes);
+    double lateMs = script.checker().lateMs();
+    Results.EmulatorLag late =
+        new Results.EmulatorLag(
             arrivalLags.p99() > lateMs || loopLags.p99() > lateMs,
             arrivalLags.p99(),
             arrivalLags.max(),
             loopLags.p99(),
             loopLags.max());
-    List<Results.FaultNote> faults = new ArrayList<>();
+    List<Results.FaultSummary> faults = new ArrayList<>();
     for (int i = 0; i < script.faults().size(); i++) {
       var fault = script.faults().get(i);
       faults.add(
-          new Results.FaultNote(
+          new Results.FaultSummary(
               fault.atMs(),
               fault.endMs(),
               Faults.describe(fault, world.affected().get(i)),
@@ -350,46 +352,48 @@
         script,
         world.seed(),
         world.digest(),
-        tally.windows(Tally.WINDOW_MS),
-        tally.windows(Tally.PLOT_MS),
-        tally.classes(),
-        breaches(),
+        statistics.windows(OutcomeStatistics.WINDOW_MS),
+        statistics.windows(OutcomeStatistics.PLOT_MS),
+        statistics.classes(),
+        violations(),
         gateways.all().stream().mapToInt(g -> g.crashes).sum(),
         late,
         gatewayResults(),
         faults,
-        Lanes.of(
+        ProcessTimeline.of(
             world.gatewaySites().size(),
             script.faults(),
             world.affected(),
-            ledger.outages(),
+            eventLog.outages(),
             monitor == null ? Map.of() : monitor.leads()),
         fleet.all().stream().map(StockHost::name).toList(),
         queues,
-        ledger.attemptCount(),
+        eventLog.attemptCount(),
         repeats,
-        recordFigures);
+        recordMetrics);
   }
 
-  private List<Breach> breaches() {
-    List<Breach> all = new ArrayList<>(Judge.judge(script, ledger));
-    if (recordFigures != null) {
-      recordFigures
-          .wrong()
+  private List<Violation> violations() {
+    List<Violation> all = new ArrayList<>(RuleChecker.check(script, eventLog));
+    if (recordMetrics != null) {
+      recordMetrics
+          .violations()
           .forEach(
-              what -> all.add(new Breach(Rule.RECORD, script.lengthMs(), "", what, List.of())));
+              what -> all.add(new Violation(Rule.RECORD, script.lengthMs(), "", what, List.of())));
     }
     for (Gateways.GatewayProcess gateway : gateways.all()) {
       for (String line : gateways.violations(gateway)) {
-        all.add(new Breach(Rule.VIOLATION, script.lengthMs(), "", line, List.of()));
+        all.add(new Violation(Rule.VIOLATION, script.lengthMs(), "", line, List.of()));
       }
     }
     return List.copyOf(all);
   }
 
-  private List<Effect> effects(Fault fault, List<String> affected) {
-    return fault.kind().subject() == Fault.Subject.HOSTS && fault.kind().lasts()
-        ? affected.stream().map(h -> Effect.of(ledger, h, fault.atMs(), fault.endMs())).toList()
+  private List<FaultEffect> effects(Fault fault, List<String> affected) {
+    return fault.kind().subject() == Fault.Subject.HOSTS && fault.kind().hasDuration()
+        ? affected.stream()
+            .map(h -> FaultEffect.of(eventLog, h, fault.atMs(), fault.endMs()))
+            .toList()
         : List.of();
   }
 
@@ -397,9 +401,9 @@
     int n = gateways.all().size();
     int[] asked = new int[n];
     int[] answered = new int[n];
-    for (Ledger.Try t : ledger.tries()) {
+    for (EventLog.ClientAttempt t : eventLog.clientAttempts()) {
       asked[t.gateway]++;
-      answered[t.gateway] += t.end == Ledger.TryEnd.ANSWERED ? 1 : 0;
+      answered[t.gateway] += t.end == EventLog.ClientAttemptEnd.ANSWERED ? 1 : 0;
     }
     List<Results.GatewayResult> out = new ArrayList<>();
     for (int g = 0; g < n; g++) {
--- a/src/main/java/hazelspoke/emulator/torment/FaultGenerator.java
+++ b/src/main/java/hazelspoke/emulator/torment/FaultGenerator.java
@@ -128,7 +128,7 @@
     Fault outbound = fault(kind, atMs, forMs, new Target(selected, 1, null, null, others));
     return random.nextInt(3) == 0
         ? List.of(outbound)
-        : List.of(outbound, outbound.at(new Target(others, 1, null, null, selected)));
+        : List.of(outbound, outbound.withTarget(new Target(others, 1, null, null, selected)));
   }
 
   private Fault nextSingle(double atMs, double forMs) {
@@ -232,7 +232,7 @@
         // No parameters.
       }
     }
-    double durationMs = kind.lasts() ? forMs : 0;
+    double durationMs = kind.hasDuration() ? forMs : 0;
     return new Fault(kind, atMs, durationMs, target, factor, 0, to, false, every, "", 0);
   }
 }
--- a/src/test/java/hazelspoke/emulator/torment/FaultGeneratorTest.java
+++ b/src/test/java/hazelspoke/emulator/torment/FaultGeneratorTest.java
@@ -65,7 +65,7 @@
       assertThat(drawn.stream().filter(Kind::losesVote)).hasSizeLessThan(2);
       kinds.addAll(drawn);
     }
-    assertThat(kinds.stream().filter(Kind::isOfDisks)).hasSize(4);
+    assertThat(kinds.stream().filter(Kind::affectsDisk)).hasSize(4);
   }
 
   /** The printed script must equal the one that ran. */
