--- a/src/main/java/hazelspoke/emulator/run/ApartHosts.java
+++ b/src/main/java/hazelspoke/emulator/run/HostProcesses.java
@@ -19,39 +19,41 @@
 import java.util.Map;
 
 /**
- * Stock servers in processes of their own, so that a script's crash and freeze can be held against
- * SIGKILL and SIGSTOP. What they see comes back as lines; both sides read one monotonic clock.
+ * Runs stock servers in processes of their own, so that a script's crash and freeze can be compared
+ * with SIGKILL and SIGSTOP. They report events as lines; both sides read the same monotonic clock.
  */
-public final class ApartHosts {
+public final class HostProcesses {
   private final List<String> command;
   private final Path folder;
   private final long seed;
 
   /**
-   * @param command what starts the command line of this program
-   * @param folder where a copy of the script lies, as {@code script.toml}
+   * @param command prefix that runs this program's command line
+   * @param folder holds a copy of the script, named {@code script.toml}
    */
-  public ApartHosts(List<String> command, Path folder, long seed) {
+  public HostProcesses(List<String> command, Path folder, long seed) {
     this.command = List.copyOf(command);
     this.folder = folder;
     this.seed = seed;
   }
 
-  StockHost host(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, EventLog ledger) {
-    return new Apart(stage, spec, address, ledger);
+  StockHost host(
+      EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, EventLog ledger) {
+    return new HostProcess(emulatorLoop, spec, address, ledger);
   }
 
-  private final class Apart implements StockHost {
-    private final EmulatorLoop stage;
+  private final class HostProcess implements StockHost {
+    private final EmulatorLoop emulatorLoop;
     private final ServerSpec spec;
     private final InetSocketAddress address;
     private final EventLog ledger;
     private final Map<String, Attempt> open = new HashMap<>();
-    private OsProcess handle;
+    private OsProcess osProcess;
     private int starts;
 
-    Apart(EmulatorLoop stage, ServerSpec spec, InetSocketAddress address, EventLog ledger) {
-      this.stage = stage;
+    HostProcess(
+        EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, EventLog ledger) {
+      this.emulatorLoop = emulatorLoop;
       this.spec = spec;
       this.address = address;
       this.ledger = ledger;
@@ -74,8 +76,8 @@
 
     @Override
     public void start(boolean cold) {
-      List<String> line = new ArrayList<>(command);
-      line.addAll(
+      List<String> arguments = new ArrayList<>(command);
+      arguments.addAll(
           List.of(
               "stock-server",
               folder.resolve("script.toml").toString(),
@@ -86,23 +88,23 @@
               "--listen",
               Ports.text(address),
               "--zero",
-              Long.toString(stage.originNanos())));
+              Long.toString(emulatorLoop.originNanos())));
       if (cold) {
-        line.add("--cold");
+        arguments.add("--cold");
       }
       try {
         Process process =
-            new ProcessBuilder(line)
+            new ProcessBuilder(arguments)
                 .redirectError(
                     ProcessBuilder.Redirect.appendTo(folder.resolve(spec.name() + ".log").toFile()))
                 .start();
-        handle = new OsProcess(process);
+        osProcess = new OsProcess(process);
         int start = ++starts;
         Thread reader = new Thread(() -> read(process, start), spec.name());
         reader.setDaemon(true);
         reader.start();
       } catch (IOException e) {
-        stage.fail(spec.name() + " cannot be started", e);
+        emulatorLoop.fail(spec.name() + " cannot be started", e);
       }
     }
 
@@ -113,15 +115,15 @@
         String line;
         while ((line = in.readLine()) != null) {
           String[] words = line.split(" ");
-          stage.loop().execute(() -> take(words, start));
+          emulatorLoop.loop().execute(() -> handleEvent(words, start));
         }
       } catch (IOException e) {
-        // It has been killed.
+        // The process was killed.
       }
     }
 
-    /** {@code received ID TXN AT EARLIEST} or {@code ended ID HOW AT}. */
-    private void take(String[] words, int start) {
+    /** Handles {@code received ID TXN AT EARLIEST} or {@code ended ID HOW AT}. */
+    private void handleEvent(String[] words, int start) {
       String id = start + " " + words[1];
       if (words[0].equals("received")) {
         open.put(
@@ -142,31 +144,31 @@
 
     @Override
     public void crash() {
-      if (handle != null) {
-        handle.signal(GatewayHandle.Signal.KILL);
-        handle = null;
-        open.values().forEach(a -> a.end(AttemptEnd.RESET, stage.now()));
+      if (osProcess != null) {
+        osProcess.signal(GatewayHandle.Signal.KILL);
+        osProcess = null;
+        open.values().forEach(a -> a.end(AttemptEnd.RESET, emulatorLoop.now()));
         open.clear();
       }
     }
 
     @Override
     public void freeze() {
-      if (handle != null) {
-        handle.signal(GatewayHandle.Signal.STOP);
+      if (osProcess != null) {
+        osProcess.signal(GatewayHandle.Signal.STOP);
       }
     }
 
     @Override
     public void thaw() {
-      if (handle != null) {
-        handle.signal(GatewayHandle.Signal.CONT);
+      if (osProcess != null) {
+        osProcess.signal(GatewayHandle.Signal.CONT);
       }
     }
 
     @Override
     public boolean isUp() {
-      return handle != null && handle.isAlive();
+      return osProcess != null && osProcess.isAlive();
     }
 
     @Override
--- a/src/test/java/hazelspoke/emulator/run/TormentTest.java
+++ b/src/test/java/hazelspoke/emulator/run/TormentTest.java
@@ -8,7 +8,7 @@
 import hazelspoke.emulator.report.Results;
 import hazelspoke.emulator.script.Script;
 import hazelspoke.emulator.script.ScriptReader;
-import hazelspoke.emulator.torment.FaultDraw;
+import hazelspoke.emulator.torment.FaultGenerator;
 import java.io.File;
 import java.nio.file.Path;
 import java.util.Map;
@@ -18,17 +18,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Processes of the program with faults between them: rules and counts, never times. */
+/** Fault injection between processes. Checks rules and counts, never times. */
 class TormentTest {
   @TempDir Path folder;
 
-  /** The program as it is run, but from the folder of its classes. */
+  /** Runs the program as deployed, but from the class folder. */
   static GatewayLauncher processes() {
     String classes =
         System.getProperty("java.class.path")
             + File.pathSeparator
             + Path.of("target/classes").toAbsolutePath();
-    return new ProcessGateways(
+    return new ProcessGatewayLauncher(
         Path.of("."),
         "exec java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xmx56m -cp '"
             + classes
@@ -38,7 +38,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {3, 11})
-  void threeProcessesKeepTheRulesThroughWhateverIsDrawn(long seed) throws Exception {
+  void threeProcessesKeepRulesUnderGeneratedFaults(long seed) throws Exception {
     Script fleet =
         ScriptReader.read(
             "test",
@@ -55,8 +55,8 @@
             add_s = 0.2
             """
                 + RehearsalTest.WIDE.formatted(5_000, 20, 20));
-    Script script = fleet.withFaults(FaultDraw.draw(fleet, seed));
-    Results r = RehearsalTest.play(folder, script, processes());
+    Script script = fleet.withFaults(FaultGenerator.generate(fleet, seed));
+    Results r = RehearsalTest.run(folder, script, processes());
     assertThat(r.violations()).isEmpty();
     assertThat(r.crashes()).isZero();
     RehearsalTest.assertSums(r, World.draw(script, 1).arrivals().size());
@@ -67,11 +67,11 @@
   }
 
   /**
-   * A request that is under way for longer than a drain's grace was sent in time all the same: it
-   * is the moment of sending that is judged.
+   * A request that a slow link delivers after the drain's grace must not count as a violation, as
+   * it was sent in time.
    */
   @Test
-  void whatASlowWayBringsLateIsJudgedByWhenItWasSent() throws Exception {
+  void requestOnSlowLinkIsCheckedByItsSendTime() throws Exception {
     String script =
         """
         length_s = 4
@@ -100,12 +100,12 @@
         """
             + RehearsalTest.WIDE.formatted(300, 10, 10);
     Results r =
-        RehearsalTest.play(
+        RehearsalTest.run(
             folder, ScriptReader.read("test", script), new BrokenGateway(BrokenGateway.Fault.NONE));
     assertThat(r.violations()).isEmpty();
   }
 
-  /** What the judge sees through relays is enough to convict. */
+  /** The events visible through relays suffice to report a violation. */
   @ParameterizedTest
   @CsvSource({
     "DROPS_ANSWERS, LOST",
@@ -114,7 +114,7 @@
     "REFUSES_WHAT_RAN, TWICE",
     "SENDS_TO_DRAINED, DRAIN"
   })
-  void aBrokenGatewayIsConvictedBehindRelaysToo(BrokenGateway.Fault fault, Rule rule)
+  void reportsViolationsOfBrokenGatewayBehindRelays(BrokenGateway.Fault fault, Rule rule)
       throws Exception {
     String script =
         """
@@ -144,7 +144,7 @@
         """
             + RehearsalTest.WIDE.formatted(800, 10, 10);
     Results r =
-        RehearsalTest.play(folder, ScriptReader.read("test", script), new BrokenGateway(fault));
+        RehearsalTest.run(folder, ScriptReader.read("test", script), new BrokenGateway(fault));
     assertThat(r.rules().entrySet().stream().filter(e -> e.getValue() > 0).map(Map.Entry::getKey))
         .containsExactly(rule);
   }
--- a/src/test/java/hazelspoke/emulator/torment/FaultDrawTest.java
+++ b/src/test/java/hazelspoke/emulator/torment/FaultGeneratorTest.java
@@ -19,27 +19,28 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-class FaultDrawTest {
+class FaultGeneratorTest {
   private static Script script() throws Exception {
     return ScriptReader.read(
         "test", "length_s = 30\n[fleet]\ngateways = 4\nservers = 6\n[load]\nrate = 10\n");
   }
 
   @Test
-  void eachProcessHasOneFaultAtATimeAndTheLastPartIsCalm() throws Exception {
+  void generatesOneFaultAtATimePerProcessAndNoneAtTheEnd() throws Exception {
     Set<Kind> kinds = EnumSet.noneOf(Kind.class);
     for (long seed = 0; seed < 1_000; seed++) {
-      List<Fault> faults = FaultDraw.draw(script(), seed);
-      assertThat(faults).isEqualTo(FaultDraw.draw(script(), seed));
+      List<Fault> faults = FaultGenerator.generate(script(), seed);
+      assertThat(faults).isEqualTo(FaultGenerator.generate(script(), seed));
       Map<String, Double> free = new HashMap<>();
       double last = 0;
       for (Fault f : faults) {
         kinds.add(f.kind());
         assertThat(f.atMs()).isGreaterThanOrEqualTo(last);
         last = f.atMs();
-        assertThat(f.endMs()).isLessThanOrEqualTo(30_000 * (1 - FaultDraw.CALM_PART));
+        assertThat(f.endMs())
+            .isLessThanOrEqualTo(30_000 * (1 - FaultGenerator.FAULT_FREE_FRACTION));
         if (f.kind() == Kind.GATEWAY_PAUSE) {
-          // Short enough for every rule to hold, and meant to strike one that is ending as well.
+          // Short enough for every rule to hold; may also affect a terminating gateway.
           assertThat(f.forMs()).isBetween(50.0, 150.0);
         } else if (f.kind().subject() != Subject.LINKS) {
           String process = f.target().names().get(0);
@@ -51,25 +52,25 @@
     assertThat(kinds).hasSize(18);
   }
 
-  /** What bears the loss of one disk loses no second one before somebody can have replaced it. */
+  /** A record tolerates one lost disk, so no second may be lost before it can be replaced. */
   @Test
-  void whereGatewaysShareARecordDisksAreStruckAndOneIsLostAtMost() throws Exception {
+  void generatesDiskFaultsButAtMostOneLostDiskForSharedRecord() throws Exception {
     Script script =
         ScriptReader.read(
             "test",
             "length_s = 60\n[fleet]\ngateways = 5\nservers = 6\nvoters = 3\n[load]\nrate = 10\n");
     Set<Kind> kinds = EnumSet.noneOf(Kind.class);
     for (long seed = 0; seed < 300; seed++) {
-      List<Kind> drawn = FaultDraw.draw(script, seed).stream().map(Fault::kind).toList();
+      List<Kind> drawn = FaultGenerator.generate(script, seed).stream().map(Fault::kind).toList();
       assertThat(drawn.stream().filter(Kind::losesVote)).hasSizeLessThan(2);
       kinds.addAll(drawn);
     }
     assertThat(kinds.stream().filter(Kind::affectsDisk)).hasSize(4);
   }
 
-  /** A script that is printed is the one that was played. */
+  /** The printed script must equal the one that ran. */
   @Test
-  void whatIsWrittenIsReadAsTheSame() throws Exception {
+  void writtenScriptsReadBackEqual() throws Exception {
     List<Script> scripts = new ArrayList<>();
     try (Stream<Path> files = Files.list(Path.of("rehearsals"))) {
       for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
@@ -78,16 +79,16 @@
     }
     assertThat(scripts).hasSizeGreaterThan(10);
     for (long seed = 0; seed < 200; seed++) {
-      scripts.add(script().withFaults(FaultDraw.draw(script(), seed)));
+      scripts.add(script().withFaults(FaultGenerator.generate(script(), seed)));
     }
     for (Script s : scripts) {
       String text = ScriptWriter.write(s);
-      assertThat(unplaced(ScriptReader.read(text, text))).as(text).isEqualTo(unplaced(s));
+      assertThat(withoutLines(ScriptReader.read(text, text))).as(text).isEqualTo(withoutLines(s));
     }
   }
 
-  /** Without the lines, which are others in another text. */
-  private static Script unplaced(Script s) {
+  /** Drops line numbers, which differ between texts. */
+  private static Script withoutLines(Script s) {
     return s.withFaults(
         s.faults().stream()
             .map(
