--- a/src/main/java/hazelspoke/emulator/net/LedgerSink.java
+++ b/src/main/java/hazelspoke/emulator/net/LedgerSink.java
@@ -2,7 +2,7 @@
 
 import hazelspoke.emulator.judge.EventLog;
 
-/** Hosts in the emulator's own process write into the ledger itself. */
+/** Writes the events of hosts in the emulator's own process directly to the event log. */
 public final class LedgerSink implements HostSink {
   private final EventLog ledger;
 
@@ -24,7 +24,7 @@
   }
 
   @Override
-  public void fell(String host, double at, double toldShare) {
-    ledger.overloaded(host, at, toldShare);
+  public void failedFromOverload(String host, double at, double informedShare) {
+    ledger.overloaded(host, at, informedShare);
   }
 }
