--- a/src/main/java/hazelspoke/emulator/judge/EventLog.java
+++ b/src/main/java/hazelspoke/emulator/judge/EventLog.java
@@ -8,28 +8,28 @@
 import java.util.Map;
 
 /**
- * What clients and hosts saw, and nothing that a gateway says of itself. Kept whole until the end
- * of a rehearsal, whose length and rate bound it; then the {@link RuleChecker} reads it. Times are
- * in milliseconds since the start of the load, all from one clock. One thread writes it, or one at
- * a time.
+ * Records what clients and hosts observed, and nothing that a gateway reports about itself. All
+ * entries are kept until the end of a rehearsal, when the {@link RuleChecker} reads them; the
+ * length and rate of the rehearsal bound the size. Times are in milliseconds since the start of the
+ * load, all from one clock. Not thread-safe: at most one thread may write at a time.
  */
 public final class EventLog {
-  /** How a client's try ended. */
+  /** How a client attempt ended. */
   public enum ClientAttemptEnd {
     OPEN,
-    /** A whole answer came. */
+    /** A complete response arrived. */
     ANSWERED,
-    /** An answer began and broke off. */
+    /** The response was cut off before its end. */
     TRUNCATED,
-    /** The connection ended with nothing of an answer. */
+    /** The connection closed before any byte of a response. */
     CLOSED,
-    /** Nothing by the time the rules allow. */
+    /** No response within the time that the rules allow. */
     SILENT,
-    /** The request never got to a gateway. */
+    /** The request never reached a gateway. */
     UNREACHABLE
   }
 
-  /** One try of a client's: a request with an id of its own. */
+  /** One attempt of a client: a request with its own id. */
   public static final class ClientAttempt {
     public final String txn;
     public final int number;
@@ -37,10 +37,10 @@
     public final int gateway;
     public final boolean freshConnection;
 
-    /** When its last byte was written; NaN as long as it was not. */
+    /** When its last byte was written; NaN until then. */
     public double sentAt = Double.NaN;
 
-    /** When its first byte was written; NaN as long as it was not. */
+    /** When its first byte was written; NaN until then. */
     public double sendStartedAt = Double.NaN;
 
     /** When its client stops waiting. */
@@ -50,10 +50,10 @@
     public ClientAttemptEnd end = ClientAttemptEnd.OPEN;
     public int status;
 
-    /** The host that the answer names as its maker; null where no host can have made it. */
+    /** The host that the response names as its origin; null if no host can have produced it. */
     public String respondingHost;
 
-    /** Whether more came on the connection than one answer. */
+    /** Whether the connection carried more than one response. */
     public boolean hasExtraResponse;
 
     ClientAttempt(
@@ -71,7 +71,7 @@
       this.deadline = deadline;
     }
 
-    /** Whether the answer says that another try is harmless. */
+    /** Returns whether the response states that a retry is safe. */
     public boolean refused() {
       return end == ClientAttemptEnd.ANSWERED && (status == 429 || status == 503);
     }
@@ -87,19 +87,22 @@
     SERVED,
     ERROR,
     TURNED_AWAY,
-    /** The host broke the connection, or died. */
+    /** The host reset the connection or crashed. */
     RESET,
-    /** The gateway gave it up. */
+    /** The gateway abandoned it. */
     GIVEN_UP
   }
 
-  /** One attempt, as the host that took it saw it. */
+  /** One attempt, as observed by the host that accepted it. */
   public static final class Attempt {
     public final String txn;
     public final String host;
     public final int group;
 
-    /** When its last byte was read, and the soonest that it can have been sent. */
+    /**
+     * When its last byte was read; {@link #earliest} is the earliest time at which it can have been
+     * sent.
+     */
     public double receivedAt;
 
     public double earliest;
@@ -121,19 +124,22 @@
       }
     }
 
-    /** Whether it is certain that it never ran. */
+    /** Returns whether the request certainly did not run at the host. */
     boolean neverRan(double at) {
       return end == AttemptEnd.TURNED_AWAY && endedAt <= at;
     }
   }
 
-  /** What a gateway was told of a host. */
+  /** A notification about a host that was sent to a gateway. */
   public record HostNotification(int gateway, String host, boolean ready, double at) {}
 
-  /** A time for which a gateway did not run, or was about to be killed. */
+  /** An interval in which a gateway was not running or was about to be killed. */
   public record Outage(int gateway, double from, double to) {}
 
-  /** A cold host that fell over, and the share of the work that knew of its start. */
+  /**
+   * An overload of a cold host, and the share of its work that came from gateways notified of its
+   * start.
+   */
   public record HostOverload(String host, double at, double informedShare) {}
 
   private final Map<String, ClientAttempt> clientAttempts = new LinkedHashMap<>();
@@ -143,7 +149,7 @@
   private final List<HostOverload> overloads = new ArrayList<>();
   private long attemptCount;
 
-  /** A client begins to send a request. */
+  /** Records that a client starts to send a request. */
   public ClientAttempt requestStarted(
       String txn,
       int number,
@@ -157,7 +163,7 @@
     return t;
   }
 
-  /** A host has read the last byte of a request. */
+  /** Records that a host has read the last byte of a request. */
   public Attempt received(String txn, String host, int group, double at, double earliest) {
     Attempt a = new Attempt(txn, host, group, at, earliest);
     attempts.computeIfAbsent(txn, k -> new ArrayList<>(1)).add(a);
@@ -165,7 +171,7 @@
     return a;
   }
 
-  /** News of a host was written to a gateway, or counts as told. */
+  /** Records that a notification about a host was written to a gateway, or counts as delivered. */
   public void notified(int gateway, String host, boolean ready, double at) {
     notifications
         .computeIfAbsent(gateway + " " + host, k -> new ArrayList<>(2))
@@ -180,7 +186,7 @@
     overloads.add(new HostOverload(host, at, informedShare));
   }
 
-  /** The try with this id; null for one that no client asked. */
+  /** Returns the client attempt with this id; null if no client sent it. */
   public ClientAttempt find(String txn) {
     return clientAttempts.get(txn);
   }
@@ -189,7 +195,7 @@
     return clientAttempts.values();
   }
 
-  /** The attempts of a try, in the order in which they were noted. */
+  /** Returns the attempts of a client attempt, in the order in which they were recorded. */
   public List<Attempt> attempts(String txn) {
     return attempts.getOrDefault(txn, List.of());
   }
@@ -198,7 +204,7 @@
     return attemptCount;
   }
 
-  /** What a gateway was told of a host, in order. */
+  /** Returns the notifications about a host that a gateway received, in order. */
   public List<HostNotification> notifications(int gateway, String host) {
     return notifications.getOrDefault(gateway + " " + host, List.of());
   }
@@ -211,7 +217,7 @@
     return overloads;
   }
 
-  /** Ids that reached a host and that no client ever sent. */
+  /** Returns the request ids that reached a host but that no client sent. */
   public List<String> unknownRequestIds() {
     return attempts.keySet().stream()
         .filter(txn -> !clientAttempts.containsKey(txn))
@@ -219,7 +225,7 @@
         .toList();
   }
 
-  /** Moves all times by so much: for a reader whose 0 is another. */
+  /** Shifts all times by an offset, for a reader with a different time origin. */
   public void shiftTimes(double byMs) {
     for (ClientAttempt t : clientAttempts.values()) {
       t.sentAt += byMs;
--- a/src/main/java/hazelspoke/emulator/judge/FaultEffect.java
+++ b/src/main/java/hazelspoke/emulator/judge/FaultEffect.java
@@ -7,17 +7,18 @@
 import java.util.List;
 
 /**
- * What a fault of one host did, as hosts and clients saw it. Times are in milliseconds, NaN where
- * there is nothing to tell them by.
+ * The effect of a fault on one host, as observed by hosts and clients. Times are in milliseconds,
+ * NaN if there is no observation to derive them from.
  *
- * @param affectedRequests requests that were sent to the host while it was at fault
- * @param served how many of those were served all the same
- * @param refused how many were refused
- * @param failed how many failed
- * @param timeToSkipMs how long the host went on getting its share: the number of requests caught,
- *     at its rate in the 5 s before. By number and not by the last one's time, as a process that
- *     stands still reads all of them at its end
- * @param timeToRestoreMs from the end of the fault to the next request sent there
+ * @param affectedRequests requests that were sent to the host during the fault
+ * @param served how many of those were served nevertheless
+ * @param refused how many of those were refused
+ * @param failed how many of those failed
+ * @param timeToSkipMs how long the host kept receiving its share of requests: the number of
+ *     affected requests divided by its request rate in the 5 s before the fault. This uses the
+ *     number of requests rather than the time of the last one, because a stalled process reads all
+ *     of them when it resumes
+ * @param timeToRestoreMs time from the end of the fault to the next request sent to the host
  */
 public record FaultEffect(
     String host,
@@ -27,15 +28,13 @@
     int failed,
     double timeToSkipMs,
     double timeToRestoreMs) {
-  /** The rate before the fault is read off this long. */
+  /** Length of the interval before the fault over which the request rate is measured. */
   private static final double BEFORE_MS = 5_000;
 
-  /**
-   * What was read after a standstill may have been sent this long before the start, as it seems.
-   */
+  /** A request read after a stall can appear to have been sent this long before the fault began. */
   private static final double EDGE_MS = 20;
 
-  /** Reads the ledger for one host and one fault. */
+  /** Computes the effect of one fault on one host from the event log. */
   public static FaultEffect of(EventLog eventLog, String host, double from, double to) {
     List<Attempt> at = new ArrayList<>();
     for (ClientAttempt t : eventLog.clientAttempts()) {
--- a/src/main/java/hazelspoke/emulator/judge/Linearizability.java
+++ b/src/main/java/hazelspoke/emulator/judge/Linearizability.java
@@ -10,54 +10,57 @@
 import java.util.Set;
 
 /**
- * Whether what clients saw of one versioned register could have come from a single copy of it, each
- * call taking hold at one moment between its beginning and its end. Wing and Gong's search (1993)
- * with Lowe's memory of what was tried (2017).
+ * Checks whether a history of calls to one versioned register is linearizable: whether each call
+ * can have taken effect at one instant between its start and its end. Implements Wing and Gong's
+ * search (1993) with Lowe's memoization of visited states (2017).
  *
- * <p>A version is a number that grows with each write and is chosen by the register. Each write of
- * a history has a value of its own. A call whose end nobody saw may have taken hold at any time
- * after its beginning, or never. Histories of some hundred calls are decided in milliseconds; with
- * many unknown ends the search may grow, and gives up at {@link #MAX_STATES}.
+ * <p>The register assigns an increasing version to each write. Each write of a history has a
+ * distinct value. A call whose end was not observed may have taken effect at any time after its
+ * start, or never. Histories of a few hundred calls are decided in milliseconds; many unknown ends
+ * can enlarge the search, which stops at {@link #MAX_STATES}.
  */
 public final class Linearizability {
-  /** So many positions are looked at before the search gives up. */
+  /** Maximum number of states that are visited before the search is abandoned. */
   public static final int MAX_STATES = 2_000_000;
 
-  /** When nobody saw the end of a call. */
+  /** End time of a call whose end was not observed. */
   public static final long UNKNOWN = Long.MAX_VALUE;
 
   /**
-   * A call as its client saw it.
+   * A call as observed by its client.
    *
-   * @param from when it began
-   * @param to when its end was seen, later than {@code from}; {@link #UNKNOWN} if it was not
-   * @param expected of a write the version that it wanted to be the present one; below 0 for any
-   * @param value what was to be written, or what was read; null for a read of nothing
-   * @param writes whether it wanted to write
-   * @param done of a write whether it took hold
-   * @param version of the value written or read; of a write that was turned down the present one; 0
-   *     for nothing there
+   * @param from start time
+   * @param to end time, later than {@code from}; {@link #UNKNOWN} if not observed
+   * @param expected for a write, the required current version; negative for any
+   * @param value the value written or read; null for a read of an empty register
+   * @param writes whether the call is a write
+   * @param done for a write, whether it took effect
+   * @param version the version of the value written or read; for a rejected write the current
+   *     version; 0 for an empty register
    */
   public record Call(
       long from, long to, boolean writes, long expected, String value, boolean done, long version) {
-    /** A read that was answered. */
+    /** Creates a completed read. */
     public static Call read(long from, long to, long version, String value) {
       return new Call(from, to, false, -1, value, true, version);
     }
 
-    /** A write that was answered. */
+    /** Creates a completed write. */
     public static Call write(
         long from, long to, long expected, String value, boolean done, long version) {
       return new Call(from, to, true, expected, value, done, version);
     }
 
-    /** A write whose end nobody saw. */
+    /** Creates a write whose end was not observed. */
     public static Call withUnknownEnd(long from, long expected, String value) {
       return new Call(from, UNKNOWN, true, expected, value, true, 0);
     }
   }
 
-  /** What the register holds; of a lost write the version is known only to be above another. */
+  /**
+   * The content of the register. After a write with an unknown end only a lower bound of the
+   * version is known.
+   */
   private record State(long version, long above, String value) {
     private static final long NOT_KNOWN = -1;
 
@@ -84,10 +87,10 @@
   }
 
   /**
-   * Looks for an order.
+   * Searches for a linearization of the history.
    *
-   * @param history of one register that held nothing at first
-   * @return null if there is one; else what is wrong
+   * @param history calls to one register that is initially empty
+   * @return null if there is one; otherwise a description of the failure
    */
   public static String check(List<Call> history) {
     List<Call> calls = new ArrayList<>(resolved(history));
@@ -102,11 +105,14 @@
     }
     return search.tried.size() >= MAX_STATES
         ? "not decided after " + MAX_STATES + " positions"
-        : "no order explains these calls; the longest that does ends before "
+        : "no order explains these calls; the longest valid prefix ends before  "
             + calls.get(Math.min(search.most, calls.size() - 1));
   }
 
-  /** A lost write that somebody read has a version; it took hold. */
+  /**
+   * Assigns the observed version to each write with an unknown end whose value was read; such a
+   * write took effect.
+   */
   private static List<Call> resolved(List<Call> history) {
     Map<String, Long> read = new HashMap<>();
     for (Call call : history) {
@@ -160,7 +166,7 @@
     return false;
   }
 
-  /** What the register holds after a call, or null if it cannot come next. */
+  /** Returns the content of the register after a call, or null if the call cannot come next. */
   private static State after(State state, Call call) {
     if (!call.writes) {
       State same = state.is(call.version);
--- a/src/main/java/hazelspoke/emulator/judge/RecordMetrics.java
+++ b/src/main/java/hazelspoke/emulator/judge/RecordMetrics.java
@@ -4,16 +4,17 @@
 import java.util.Locale;
 
 /**
- * What those who used the fleet's record through a play have seen of it.
+ * What the clients of the fleet's record observed during a run.
  *
- * @param reads that were answered
- * @param writes that were answered, those that were turned down among them
- * @param unknown writes whose end nobody saw
- * @param unanswered reads that were given up
- * @param leadership what was seen of who leads
- * @param replacedDisks disks that were lost or damaged, and vote again where they did
- * @param longestGapMs the longest time in which no call was answered, in milliseconds
- * @param violations a line for each note whose history no single copy explains
+ * @param reads completed reads
+ * @param writes completed writes, including rejected ones
+ * @param unknown writes whose end was not observed
+ * @param unanswered reads that timed out
+ * @param leadership the observed leadership
+ * @param replacedDisks disks that were lost or damaged, including the restored votes of their
+ *     voters
+ * @param longestGapMs the longest interval without a completed call, in milliseconds
+ * @param violations one line for each note whose history is not linearizable
  */
 public record RecordMetrics(
     int reads,
@@ -25,16 +26,16 @@
     double longestGapMs,
     List<String> violations) {
   /**
-   * Who led, as gateways said; for pictures, not for judging.
+   * Leadership as reported by the gateways; used in plots, not for checking rules.
    *
-   * @param leaderChanges how often one of them began to lead
-   * @param secondsWithout in how many seconds none said so
-   * @param entries up to which entry the record came
-   * @param bySecond entries in each second
+   * @param leaderChanges how often a gateway became leader
+   * @param secondsWithout number of seconds in which no gateway reported to be leader
+   * @param entries index of the last entry of the record
+   * @param bySecond number of entries in each second
    */
   public record LeadershipMetrics(
       int leaderChanges, int secondsWithout, long entries, List<Integer> bySecond) {
-    /** Nothing was seen. */
+    /** Nothing was observed. */
     public static final LeadershipMetrics NONE = new LeadershipMetrics(0, 0, 0, List.of());
 
     public LeadershipMetrics {
@@ -46,13 +47,13 @@
     violations = List.copyOf(violations);
   }
 
-  /** The same, with what others have seen. */
+  /** Returns a copy with the leadership and the number of replaced disks. */
   public RecordMetrics withObservations(LeadershipMetrics seen, int disks) {
     return new RecordMetrics(
         reads, writes, unknown, unanswered, seen, disks, longestGapMs, violations);
   }
 
-  /** In a few words. */
+  /** Returns a one-line summary. */
   public String summary() {
     return String.format(
         Locale.ROOT,
--- a/src/main/java/hazelspoke/emulator/judge/Rule.java
+++ b/src/main/java/hazelspoke/emulator/judge/Rule.java
@@ -1,23 +1,29 @@
 package hazelspoke.emulator.judge;
 
-/** The four rules, the limit of attempts, what holds of the fleet's record, and of each gateway. */
+/**
+ * The rules that a rehearsal checks: the four rules on requests, the limit of attempts, the
+ * consistency of the fleet's record, and the self-checks of each gateway.
+ */
 public enum Rule {
-  /** A request that was taken hears back exactly once, in time, and nothing is sent after that. */
+  /** An accepted request gets exactly one response, in time, and nothing is sent after that. */
   LOST,
-  /** No effect happens twice, and no refusal promises what may be false. */
+  /** No effect happens twice, and no request is refused as not executed if it may have run. */
   TWICE,
-  /** Nothing new reaches a host a grace after the gateway was told that it drains or is gone. */
+  /**
+   * No new request reaches a host later than a grace period after the gateway was notified that it
+   * drains or is removed.
+   */
   DRAIN,
-  /** No cold host is pushed over by gateways that were told of its start. */
+  /** No cold host is overloaded by gateways that were notified of its start. */
   COLD,
   /** No request gets more attempts than the settings allow. */
   ATTEMPTS,
-  /** What was once acknowledged of the fleet's record is never lost, changed or reordered. */
+  /** An acknowledged entry of the fleet's record is never lost, changed or reordered. */
   RECORD,
-  /** No gateway counts a violation of what must never happen in it. */
+  /** No gateway counts a violation of its own invariants. */
   VIOLATION;
 
-  /** The name in reports. */
+  /** Returns the name that reports use. */
   public String reportName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
--- a/src/main/java/hazelspoke/emulator/judge/RuleChecker.java
+++ b/src/main/java/hazelspoke/emulator/judge/RuleChecker.java
@@ -12,28 +12,34 @@
 import java.util.Locale;
 
 /**
- * Reads the ledger by the rules: a function of what clients and hosts saw, with no view into any
- * gateway. Every time limit is longer by the script's slack, for what sockets and schedulers take.
+ * Checks the event log against the rules. It uses only what clients and hosts observed, never the
+ * internal state of a gateway. Every time limit is extended by the slack of the script, to allow
+ * for socket and scheduling delays.
  */
 public final class RuleChecker {
-  /** After its client's deadline an answer is still in time for this long. */
+  /** A response counts as in time up to this long after its client's deadline. */
   static final double ANSWER_GRACE_MS = 20;
 
-  /** After it was told, a gateway may go on sending to a leaving host for this long. */
+  /** A gateway may keep sending to a draining host for this long after the notification. */
   static final double DRAIN_GRACE_MS = 1_000;
 
-  static final int MOST_ATTEMPTS = 5;
+  static final int MAX_ATTEMPTS = 5;
 
-  /** What was begun longer than this before a connection ended did not cross its end. */
-  private static final double MOST_CROSSING_MS = 500;
+  /**
+   * A request that began longer than this before its connection closed did not race with the close.
+   */
+  private static final double MAX_CLOSE_RACE_MS = 500;
 
-  /** A fall counts against the gateways when this part of the work came from ones that knew. */
-  static final double KNOWING_SHARE = 2.0 / 3;
+  /**
+   * An overload of a cold host is a violation if at least this share of its work came from gateways
+   * that had been notified of its start.
+   */
+  static final double INFORMED_SHARE = 2.0 / 3;
 
   private final Script script;
   private final EventLog eventLog;
   private final double slackMs;
-  private final List<Violation> breaches = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
 
   private RuleChecker(Script script, EventLog eventLog) {
     this.script = script;
@@ -41,92 +47,92 @@
     slackMs = script.checker().slackMs();
   }
 
-  /** All breaches, in the order of their times. */
+  /** Returns all violations, ordered by time. */
   public static List<Violation> check(Script script, EventLog eventLog) {
     RuleChecker checker = new RuleChecker(script, eventLog);
     for (ClientAttempt t : eventLog.clientAttempts()) {
-      checker.tryOf(t);
+      checker.checkClientAttempt(t);
     }
     for (String txn : eventLog.unknownRequestIds()) {
       Attempt first = eventLog.attempts(txn).get(0);
-      checker.breaches.add(
+      checker.violations.add(
           new Violation(
-              Rule.LOST, first.receivedAt, txn, "no client ever sent this request", List.of()));
+              Rule.LOST, first.receivedAt, txn, "no client sent this request", List.of()));
     }
     for (EventLog.HostOverload fall : eventLog.overloads()) {
-      if (fall.informedShare() >= KNOWING_SHARE) {
-        checker.breaches.add(
+      if (fall.informedShare() >= INFORMED_SHARE) {
+        checker.violations.add(
             new Violation(
                 Rule.COLD,
                 fall.at(),
                 fall.host(),
-                "a cold host was pushed over",
+                "a cold host was overloaded",
                 List.of(
                     String.format(
                         Locale.ROOT,
-                        "%.0f %% of the work came from gateways that had been told of its start",
+                        "%.0f %% of the work came from gateways that had been notified of its start",
                         100 * fall.informedShare()))));
       }
     }
-    checker.breaches.sort(Comparator.comparingDouble(Violation::atMs));
-    return List.copyOf(checker.breaches);
+    checker.violations.sort(Comparator.comparingDouble(Violation::atMs));
+    return List.copyOf(checker.violations);
   }
 
-  /** The time up to which an answer to a try is no breach. */
+  /** Returns the latest time at which a response to a client attempt is not a violation. */
   public static double latestResponseTime(double deadline, double slackMs) {
     return deadline + ANSWER_GRACE_MS + slackMs;
   }
 
-  private void tryOf(ClientAttempt t) {
+  private void checkClientAttempt(ClientAttempt t) {
     List<Attempt> attempts = new ArrayList<>(eventLog.attempts(t.txn));
     attempts.sort(Comparator.comparingDouble(a -> a.receivedAt));
-    boolean excused = wasOut(t);
+    boolean excused = wasGatewayDown(t);
     if (!excused) {
-      lost(t, attempts);
+      checkLost(t, attempts);
     }
-    twice(t, attempts);
-    drain(t, attempts);
-    if (attempts.size() > MOST_ATTEMPTS) {
-      breach(Rule.ATTEMPTS, t, attempts, attempts.size() + " attempts");
+    checkDuplicates(t, attempts);
+    checkDrain(t, attempts);
+    if (attempts.size() > MAX_ATTEMPTS) {
+      report(Rule.ATTEMPTS, t, attempts, attempts.size() + " attempts");
     }
   }
 
-  /** Whether the gateway was down at some moment while it had the request. */
-  private boolean wasOut(ClientAttempt t) {
+  /** Returns whether the gateway was down at any time while it had the request. */
+  private boolean wasGatewayDown(ClientAttempt t) {
     double from = Double.isNaN(t.sentAt) ? Double.NEGATIVE_INFINITY : t.sentAt;
     double to = Double.isNaN(t.endedAt) ? Double.POSITIVE_INFINITY : t.endedAt;
     return eventLog.outages().stream()
         .anyMatch(o -> o.gateway() == t.gateway && o.from() <= to + slackMs && from <= o.to());
   }
 
-  private void lost(ClientAttempt t, List<Attempt> attempts) {
+  private void checkLost(ClientAttempt t, List<Attempt> attempts) {
     if (t.hasExtraResponse) {
-      breach(Rule.LOST, t, attempts, "more than one answer");
+      report(Rule.LOST, t, attempts, "more than one response");
     }
     switch (t.end) {
       case ANSWERED -> {
         if (t.served() && !isGenuine(t, attempts)) {
-          breach(Rule.LOST, t, attempts, "served with what no host made for it");
+          report(Rule.LOST, t, attempts, "served with a response that no host produced for it");
         } else if (t.endedAt > latestResponseTime(t.deadline, slackMs)) {
-          breach(Rule.LOST, t, attempts, "answered after its client's deadline");
+          report(Rule.LOST, t, attempts, "response sent after the client's deadline");
         }
       }
-      case SILENT -> breach(Rule.LOST, t, attempts, "no answer");
+      case SILENT -> report(Rule.LOST, t, attempts, "no response");
       case CLOSED -> {
-        // One that crossed the close, or that a fresh connection had nothing sent on for, has
-        // failed and may be asked again.
-        if (!attempts.isEmpty() || t.endedAt - t.sendStartedAt > MOST_CROSSING_MS) {
-          breach(Rule.LOST, t, attempts, "the connection ended without an answer");
+        // A request that raced with the close, or that a fresh connection closed before anything
+        // was forwarded, has failed and may be retried.
+        if (!attempts.isEmpty() || t.endedAt - t.sendStartedAt > MAX_CLOSE_RACE_MS) {
+          report(Rule.LOST, t, attempts, "the connection closed without a response");
         }
       }
       default -> {
-        // Truncated: failed, and the client can tell. Unreachable: never taken.
+        // TRUNCATED: failed, and the client can detect it. UNREACHABLE: never accepted.
       }
     }
     double end = Double.isNaN(t.endedAt) ? Double.POSITIVE_INFINITY : t.endedAt;
     for (Attempt a : attempts) {
       if (a.earliest > end + slackMs) {
-        breach(Rule.LOST, t, attempts, "sent to " + a.host + " after its end");
+        report(Rule.LOST, t, attempts, "sent to " + a.host + "  after the client attempt ended");
         return;
       }
     }
@@ -137,7 +143,7 @@
         .anyMatch(a -> a.host.equals(t.respondingHost) && a.end == AttemptEnd.SERVED);
   }
 
-  private void twice(ClientAttempt t, List<Attempt> attempts) {
+  private void checkDuplicates(ClientAttempt t, List<Attempt> attempts) {
     Script.RequestClass type = script.classes().get(t.requestClass);
     if (type.effect() == Script.Effect.REPEATABLE) {
       return;
@@ -145,28 +151,36 @@
     Attempt ran = null;
     for (Attempt a : attempts) {
       if (ran != null && type.effect() == Script.Effect.ONCE) {
-        breach(Rule.TWICE, t, attempts, "sent to " + a.host + " when it may have run");
+        report(
+            Rule.TWICE,
+            t,
+            attempts,
+            "sent to " + a.host + "  although an earlier attempt may have run");
         return;
       }
       if (ran != null && a.group != ran.group) {
-        breach(Rule.TWICE, t, attempts, "sent to another group when it may have run");
+        report(
+            Rule.TWICE,
+            t,
+            attempts,
+            "sent to another group  although an earlier attempt may have run");
         return;
       }
       if (ran != null && a.earliest - ran.receivedAt > type.windowMs() + slackMs) {
-        breach(Rule.TWICE, t, attempts, "sent again after the window");
+        report(Rule.TWICE, t, attempts, "resent after the repeat window");
         return;
       }
-      if (ran == null && !a.neverRan(next(attempts, a, t))) {
+      if (ran == null && !a.neverRan(nextEventTime(attempts, a, t))) {
         ran = a;
       }
     }
     if (t.refused() && ran != null && ran.earliest <= t.endedAt) {
-      breach(Rule.TWICE, t, attempts, "refused when it may have run");
+      report(Rule.TWICE, t, attempts, "refused  although an earlier attempt may have run");
     }
   }
 
-  /** When the attempt after this one came, or the client's answer where none did. */
-  private static double next(List<Attempt> attempts, Attempt a, ClientAttempt t) {
+  /** Returns when the next attempt arrived, or when the client attempt ended if there was none. */
+  private static double nextEventTime(List<Attempt> attempts, Attempt a, ClientAttempt t) {
     int i = attempts.indexOf(a);
     if (i + 1 < attempts.size()) {
       return attempts.get(i + 1).receivedAt;
@@ -174,7 +188,7 @@
     return Double.isNaN(t.endedAt) ? Double.POSITIVE_INFINITY : t.endedAt;
   }
 
-  private void drain(ClientAttempt t, List<Attempt> attempts) {
+  private void checkDrain(ClientAttempt t, List<Attempt> attempts) {
     for (Attempt a : attempts) {
       HostNotification last = null;
       for (HostNotification told : eventLog.notifications(t.gateway, a.host)) {
@@ -183,13 +197,13 @@
         }
       }
       if (last != null && !last.ready() && a.earliest > last.at() + DRAIN_GRACE_MS + slackMs) {
-        breach(
+        report(
             Rule.DRAIN,
             t,
             attempts,
             String.format(
                 Locale.ROOT,
-                "sent to %s %.0f ms after it was told",
+                "sent to %s %.0f ms after the gateway was notified that it drains",
                 a.host,
                 a.earliest - last.at()));
         return;
@@ -197,12 +211,12 @@
     }
   }
 
-  private void breach(Rule rule, ClientAttempt t, List<Attempt> attempts, String what) {
+  private void report(Rule rule, ClientAttempt t, List<Attempt> attempts, String what) {
     List<String> details = new ArrayList<>();
     details.add(
         String.format(
             Locale.ROOT,
-            "%s, asked of g%d: sent %.0f ms, deadline %.0f ms, %s %.0f ms%s",
+            "%s, sent to g%d: sent %.0f ms, deadline %.0f ms, %s %.0f ms%s",
             script.classes().get(t.requestClass).name(),
             t.gateway + 1,
             t.sentAt,
@@ -216,13 +230,13 @@
       details.add(
           String.format(
               Locale.ROOT,
-              "at %s: came %.0f ms, %s %.0f ms",
+              "at %s: received %.0f ms, %s %.0f ms",
               a.host,
               a.receivedAt,
               a.end == AttemptEnd.OPEN ? "never ended" : a.end.name().toLowerCase(Locale.ROOT),
               a.endedAt));
     }
     double at = Double.isNaN(t.endedAt) ? t.deadline : t.endedAt;
-    breaches.add(new Violation(rule, at, t.txn, what, details));
+    violations.add(new Violation(rule, at, t.txn, what, details));
   }
 }
--- a/src/main/java/hazelspoke/emulator/judge/Violation.java
+++ b/src/main/java/hazelspoke/emulator/judge/Violation.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * One breach of a rule.
+ * A violation of one of the rules that a rehearsal checks.
  *
- * @param txn the request, or the host where it is about one
- * @param details what clients and hosts saw of it, a line each
+ * @param txn the request id, or the host name if the violation concerns a host
+ * @param details the observations of clients and hosts, one line each
  */
 public record Violation(Rule rule, double atMs, String txn, String what, List<String> details) {
   public Violation {
--- a/src/main/java/hazelspoke/emulator/report/Comparison.java
+++ b/src/main/java/hazelspoke/emulator/report/Comparison.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Two ways to play one incident side by side, with the medians of their plays. */
+/** Compares two ways to run one incident, by the medians of their runs. */
 public final class Comparison {
   private final StringBuilder out = new StringBuilder();
 
   private Comparison() {}
 
   /**
-   * A table of what the gateways did in both, and what that took them.
+   * Returns a table of the results and resource use of the gateways in both.
    *
-   * @param first what the first way is called
-   * @param second what the second is called
+   * @param first label of the first way
+   * @param second label of the second way
    */
   public static String of(String first, List<Results> scripted, String second, List<Results> real) {
     Comparison c = new Comparison();
@@ -42,7 +42,7 @@
     return c.out.toString();
   }
 
-  private interface Figure {
+  private interface Metric {
     double of(Results r);
   }
 
@@ -77,16 +77,16 @@
     return r.faults().get(fault).effects().get(host);
   }
 
-  private void row(String name, List<Results> scripted, List<Results> real, Figure figure) {
-    double a = median(scripted, figure);
-    double b = median(real, figure);
+  private void row(String name, List<Results> scripted, List<Results> real, Metric metric) {
+    double a = median(scripted, metric);
+    double b = median(real, metric);
     out.append(
         String.format(Locale.ROOT, "%-44s %12s %12s %12s%n", name, text(a), text(b), text(b - a)));
   }
 
-  private static double median(List<Results> plays, Figure figure) {
+  private static double median(List<Results> plays, Metric metric) {
     List<Double> values = new ArrayList<>();
-    plays.forEach(r -> values.add(figure.of(r)));
+    plays.forEach(r -> values.add(metric.of(r)));
     return new Quantiles(values.stream().mapToDouble(Double::doubleValue).toArray()).at(0.5);
   }
 
--- a/src/main/java/hazelspoke/emulator/report/FaultEffectText.java
+++ b/src/main/java/hazelspoke/emulator/report/FaultEffectText.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What a fault did, in a few words. */
+/** Formats the effects of a fault as text. */
 final class FaultEffectText {
   private static final double MS = 1_000;
-  private static final int MOST = 4;
+  private static final int MAX_LISTED_HOSTS = 4;
 
   private FaultEffectText() {}
 
-  /** All hosts together where they are many. */
+  /** Lists each host, or only the sums if there are many hosts. */
   static String of(List<FaultEffect> effects) {
     if (effects.isEmpty()) {
       return "";
     }
     StringBuilder out = new StringBuilder();
-    if (effects.size() <= MOST) {
+    if (effects.size() <= MAX_LISTED_HOSTS) {
       for (FaultEffect e : effects) {
         out.append(out.isEmpty() ? "" : "; ").append(e.host()).append(' ');
         out.append(
--- a/src/main/java/hazelspoke/emulator/report/Html.java
+++ b/src/main/java/hazelspoke/emulator/report/Html.java
@@ -1,6 +1,6 @@
 package hazelspoke.emulator.report;
 
-/** Text within a page. */
+/** Escapes text for HTML. */
 final class Html {
   private Html() {}
 
--- a/src/main/java/hazelspoke/emulator/report/HtmlReport.java
+++ b/src/main/java/hazelspoke/emulator/report/HtmlReport.java
@@ -11,15 +11,16 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The results as one page that needs nothing else: no script, no font, no picture from elsewhere.
+ * Writes the results as a self-contained HTML page, without scripts, fonts or images from
+ * elsewhere.
  */
 public final class HtmlReport {
   private static final double MS = 1_000;
-  private static final int MOST_BREACHES = 50;
-  private static final int MOST_LINES = 12;
+  private static final int MAX_VIOLATIONS = 50;
+  private static final int MAX_LINES = 12;
 
-  /** The height of what stands above the lanes. */
-  private static final int ENTRIES = 40;
+  /** Height of the plot of record entries above the lanes. */
+  private static final int ENTRIES_HEIGHT = 40;
 
   private static final int ROW = 20;
 
@@ -48,7 +49,7 @@
       .scroll { overflow-x: auto; }
       """;
 
-  /** Outcomes from the best to the worst; told apart also by those who see few colours. */
+  /** Outcomes from best to worst, in colours that colour-blind readers can distinguish. */
   private static final List<Part> PARTS =
       List.of(
           new Part("served in time", "#2f8f5b", Results.Window::inTime),
@@ -87,7 +88,7 @@
     gateways();
     faults();
     classes();
-    breaches();
+    violations();
     add("<h2>As text</h2><div class='scroll'><pre>%s</pre></div>", Html.escape(text()));
     add("</body></html>");
     return page.toString();
@@ -101,11 +102,11 @@
     String kind = r.emulatorLag().ranLate() ? "void" : r.allRulesKept() ? "good" : "bad";
     StringBuilder what = new StringBuilder();
     if (r.emulatorLag().ranLate()) {
-      what.append("The emulator itself ran late: this rehearsal counts for nothing. ");
+      what.append("The emulator itself ran late: this rehearsal is invalid.  ");
     } else if (r.allRulesKept()) {
       what.append("All rules kept. ");
     } else {
-      what.append("Rules broken: ");
+      what.append("Rules violated:  ");
       r.rules()
           .forEach(
               (rule, n) -> {
@@ -138,12 +139,12 @@
         r.emulatorLag().loopMax());
   }
 
-  /** A bar for each fault, with its name, over the same time as the plots below. */
+  /** Draws a labelled bar for each fault, on the same time axis as the plots below. */
   private void timeline() {
     if (r.faults().isEmpty()) {
       return;
     }
-    add("<h2>What went wrong, and when</h2>");
+    add("<h2>Faults over time</h2>");
     int rows = r.faults().size();
     Plot plot = new Plot(ROW * rows + 44, r.script().lengthMs(), 1);
     plot.time();
@@ -151,10 +152,10 @@
       Results.FaultSummary f = r.faults().get(i);
       plot.bar(f.atMs(), f.endMs(), 16 + ROW * i, ROW - 4, Html.escape(f.what()));
     }
-    page.append(plot.done());
+    page.append(plot.finish());
   }
 
-  /** A lane a process, where something was wrong with gateways or between processes. */
+  /** Draws one lane per process if gateways or links had faults. */
   private void lanes() {
     if (r.lanes().stream().allMatch(lane -> lane.spans().isEmpty())) {
       return;
@@ -162,12 +163,12 @@
     add(
         "<h2>Each process</h2><p class='soft'>"
             + "<span class='key' style='background:#b3261e'></span>did not run or serve"
-            + " <span class='key' style='background:#d9a514'></span>struck by something else"
-            + " <span class='key' style='background:#4a74c9'></span>its way to others"
+            + " <span class='key' style='background:#d9a514'></span>affected by another fault"
+            + " <span class='key' style='background:#4a74c9'></span>link to others"
             + " <span class='key' style='background:#3f8f5b'></span>leads, with entries above;"
             + " point at one to read what and to whom</p>");
     int rows = r.lanes().size();
-    int above = r.record() == null ? 0 : ENTRIES;
+    int above = r.record() == null ? 0 : ENTRIES_HEIGHT;
     Plot plot = new Plot(above + ROW * rows + 44, r.script().lengthMs(), 1);
     plot.time();
     if (above > 0) {
@@ -195,28 +196,28 @@
             Html.escape(lane.process() + ": " + span.what()));
       }
     }
-    page.append(plot.done());
+    page.append(plot.finish());
   }
 
-  /** Entries of the record, a bar a second, above the lanes. */
+  /** Draws the entries of the record above the lanes, one bar per second. */
   private void entries(Plot plot, List<Integer> bySecond) {
     int most = bySecond.stream().mapToInt(n -> n).max().orElse(0);
     for (int second = 0; second < bySecond.size(); second++) {
-      double height = (ENTRIES - 8.0) * bySecond.get(second) / Math.max(1, most);
+      double height = (ENTRIES_HEIGHT - 8.0) * bySecond.get(second) / Math.max(1, most);
       double from = plot.x(second * MS);
       plot.add(
           "<rect fill='%s' fill-opacity='.4' x='%.1f' y='%.1f' width='%.1f' height='%.1f'>"
               + "<title>%d entries</title></rect>",
           colour(ProcessTimeline.Kind.LEADS),
           from,
-          12 + ENTRIES - 8 - height,
+          12 + ENTRIES_HEIGHT - 8 - height,
           Math.max(1, plot.x((second + 1) * MS) - from - 1),
           height,
           bySecond.get(second));
     }
   }
 
-  /** Where in its lane a bar stands: who leads is a thin line below whatever else there is. */
+  /** Returns the vertical offset of a bar in its lane; leadership is a thin line at the bottom. */
   private static int offset(ProcessTimeline.Kind kind) {
     return switch (kind) {
       case OUT, ILL -> 0;
@@ -261,12 +262,12 @@
       }
     }
     plot.faults(r.faults());
-    page.append(plot.done());
+    page.append(plot.finish());
   }
 
   private void latencies() {
     add(
-        "<h2>How long the served ones took</h2><p class='soft'>From the moment they were due"
+        "<h2>Latency of served requests</h2><p class='soft'>From the planned time"
             + " <span class='key' style='background:#4a74c9'></span>half of them (p50)"
             + " <span class='key' style='background:#b3261e'></span>99 of 100 (p99)</p>");
     double most =
@@ -280,18 +281,20 @@
     plot.faults(r.faults());
     plot.line("#4a74c9", MS / 2, MS, column(Results.Window::p50Ms));
     plot.line("#b3261e", MS / 2, MS, column(Results.Window::p99Ms));
-    page.append(plot.done());
+    page.append(plot.finish());
   }
 
   private double[] column(ToDoubleFunction<Results.Window> of) {
     return r.seconds().stream().mapToDouble(of).toArray();
   }
 
-  /** A row a host, a column a second: the darker, the more it holds. */
+  /**
+   * Draws the queue of each host, one row per host and one column per second; darker means longer.
+   */
   private void queues() {
     int most = Math.max(1, r.queues().stream().flatMapToInt(Arrays::stream).max().orElse(1));
     add(
-        "<h2>What each stock server held</h2><p class='soft'>A row a server, a column a second;"
+        "<h2>Requests at each stock server</h2><p class='soft'>One row per server, one column per second;"
             + " the darker the more, up to %d requests; grey: down or not known</p>",
         most);
     int rows = r.hosts().size();
@@ -324,7 +327,7 @@
       }
     }
     plot.faults(r.faults());
-    page.append(plot.done());
+    page.append(plot.finish());
   }
 
   private void gateways() {
@@ -332,15 +335,15 @@
         r.gateways().stream().anyMatch(g -> Arrays.stream(g.cpu()).anyMatch(v -> !Double.isNaN(v)));
     if (known) {
       add(
-          "<h2>What the gateways' processes took</h2><p class='soft'>Cores in use, a line each</p>");
+          "<h2>Resource use of the gateways</h2><p class='soft'>Cores in use, one line per gateway</p>");
       Plot plot = new Plot(170, r.script().lengthMs(), most(Results.GatewayResult::cpu));
       plot.axes("cores");
       plot.faults(r.faults());
       String[] colours = {"#4a74c9", "#2f8f5b", "#d9a514", "#b3261e", "#7a4ac9", "#2a9fa8"};
-      for (int i = 0; i < Math.min(MOST_LINES, r.gateways().size()); i++) {
+      for (int i = 0; i < Math.min(MAX_LINES, r.gateways().size()); i++) {
         plot.line(colours[i % colours.length], 0, MS, r.gateways().get(i).cpu());
       }
-      page.append(plot.done());
+      page.append(plot.finish());
     }
   }
 
@@ -355,7 +358,7 @@
   private void faults() {
     if (!r.faults().isEmpty()) {
       add(
-          "<h2>The script</h2><table><tr><th>from</th><th>to</th><th class='left'>what</th><th class='left'>what came of it</th></tr>");
+          "<h2>The script</h2><table><tr><th>from</th><th>to</th><th class='left'>what</th><th class='left'>effect</th></tr>");
       for (Results.FaultSummary f : r.faults()) {
         add(
             "<tr><td>%.1f s</td><td>%.1f s</td><td class='left'>%s</td><td class='left'>%s</td></tr>",
@@ -389,10 +392,10 @@
     add("</table>");
   }
 
-  private void breaches() {
+  private void violations() {
     if (!r.violations().isEmpty()) {
-      add("<h2>Breaches</h2>");
-      for (Violation b : r.violations().stream().limit(MOST_BREACHES).toList()) {
+      add("<h2>Violations</h2>");
+      for (Violation b : r.violations().stream().limit(MAX_VIOLATIONS).toList()) {
         add(
             "<p><b>%s</b> %s at %.2f s: %s</p><pre>%s</pre>",
             b.rule().reportName(),
--- a/src/main/java/hazelspoke/emulator/report/JsonReport.java
+++ b/src/main/java/hazelspoke/emulator/report/JsonReport.java
@@ -10,9 +10,9 @@
 import java.io.StringWriter;
 import java.util.Map;
 
-/** The results as JSON, for programs; see the operators' page for its fields. */
+/** Writes the results as JSON; the operators' page documents its fields. */
 public final class JsonReport {
-  private static final int MOST_BREACHES = 200;
+  private static final int MAX_VIOLATIONS = 200;
 
   private JsonReport() {}
 
@@ -44,7 +44,7 @@
       gateways(g, r);
       windows(g, r);
       faults(g, r);
-      breaches(g, r);
+      violations(g, r);
       g.writeEndObject();
     }
     return out.append('\n').toString();
@@ -144,9 +144,9 @@
     g.writeEndArray();
   }
 
-  private static void breaches(JsonGenerator g, Results r) throws IOException {
+  private static void violations(JsonGenerator g, Results r) throws IOException {
     g.writeArrayFieldStart("breaches");
-    for (Violation b : r.violations().stream().limit(MOST_BREACHES).toList()) {
+    for (Violation b : r.violations().stream().limit(MAX_VIOLATIONS).toList()) {
       g.writeStartObject();
       g.writeStringField("rule", b.rule().reportName());
       number(g, "at_ms", b.atMs());
@@ -175,7 +175,7 @@
     number(g, value);
   }
 
-  /** To the thousandth; what is no number is null. */
+  /** Rounds to three decimals; writes null for NaN and infinity. */
   private static void number(JsonGenerator g, double value) throws IOException {
     if (Double.isFinite(value)) {
       g.writeNumber(Math.round(value * 1_000) / 1_000.0);
--- a/src/main/java/hazelspoke/emulator/report/OutcomeStatistics.java
+++ b/src/main/java/hazelspoke/emulator/report/OutcomeStatistics.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts outcomes by time and by class: a function, whose sums always add up. */
+/** Counts outcomes by time and by class. */
 public final class OutcomeStatistics {
-  /** The span of the tables, and the finer one of the plots. */
+  /** Interval of the tables; {@link #PLOT_MS} is the interval of the plots. */
   public static final double WINDOW_MS = 5_000;
 
   public static final double PLOT_MS = 1_000;
@@ -19,14 +19,14 @@
   private final List<Outcome> outcomes;
 
   /**
-   * @param outcomes one for each request, by times since the start of the load
+   * @param outcomes one per request, with times since the start of the load
    */
   public OutcomeStatistics(Script script, List<Outcome> outcomes) {
     this.script = script;
     this.outcomes = List.copyOf(outcomes);
   }
 
-  /** The whole length in spans of this many milliseconds, by the moment of planned asking. */
+  /** Returns the outcomes per interval of this length, by the planned time of the request. */
   public List<Results.Window> windows(double spanMs) {
     int count = (int) Math.ceil(script.lengthMs() / spanMs);
     List<List<Outcome>> spans = new ArrayList<>();
@@ -58,7 +58,7 @@
         latencies.at(0.99));
   }
 
-  /** Each class of the script, also one that nobody asked for. */
+  /** Returns the result of each class of the script, including classes without requests. */
   public Map<String, Results.ClassResult> classes() {
     Map<String, Results.ClassResult> out = new LinkedHashMap<>();
     for (int c = 0; c < script.classes().size(); c++) {
@@ -89,8 +89,8 @@
             .count();
   }
 
-  private static int count(List<Outcome> in, Result fate) {
-    return (int) in.stream().filter(o -> o.result() == fate).count();
+  private static int count(List<Outcome> in, Result result) {
+    return (int) in.stream().filter(o -> o.result() == result).count();
   }
 
   private static Quantiles latencies(List<Outcome> in) {
--- a/src/main/java/hazelspoke/emulator/report/Plot.java
+++ b/src/main/java/hazelspoke/emulator/report/Plot.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** One plot over time as SVG, with the faults drawn into it. */
+/** A plot over time as SVG, with the faults marked. */
 final class Plot {
   static final int WIDTH = 960;
   private static final int LEFT = 62;
@@ -14,15 +14,15 @@
   private final StringBuilder svg = new StringBuilder();
   private final int height;
   private final double lengthMs;
-  private final double most;
+  private final double max;
 
   /**
-   * @param most the value at the top
+   * @param max the value at the top of the plot
    */
-  Plot(int height, double lengthMs, double most) {
+  Plot(int height, double lengthMs, double max) {
     this.height = height;
     this.lengthMs = lengthMs;
-    this.most = most > 0 ? nice(most) : 1;
+    this.max = max > 0 ? roundUp(max) : 1;
   }
 
   double x(double ms) {
@@ -30,14 +30,14 @@
   }
 
   double y(double value) {
-    return TOP + (height - TOP - BOTTOM) * (1 - Math.min(1, value / most));
+    return TOP + (height - TOP - BOTTOM) * (1 - Math.min(1, value / max));
   }
 
   void add(String format, Object... values) {
     svg.append(String.format(Locale.ROOT, format, values)).append('\n');
   }
 
-  /** Bands for the faults, behind everything; each says on pointing what it is. */
+  /** Draws a band with a tooltip for each fault, behind everything else. */
   void faults(List<Results.FaultSummary> faults) {
     for (Results.FaultSummary f : faults) {
       double from = x(f.atMs());
@@ -48,7 +48,7 @@
     }
   }
 
-  /** A bar with its name beside it, on the side where there is room. */
+  /** Draws a bar with its label on the side that has room. */
   void bar(double fromMs, double toMs, int top, int high, String name) {
     double from = x(fromMs);
     double to = Math.max(from + 3, x(toMs));
@@ -63,7 +63,7 @@
 
   void axes(String unit) {
     for (int i = 0; i <= 4; i++) {
-      double value = most * i / 4;
+      double value = max * i / 4;
       add(
           "<line class='grid' x1='%d' x2='%d' y1='%.1f' y2='%.1f'/>",
           LEFT, WIDTH - RIGHT, y(value), y(value));
@@ -84,7 +84,7 @@
     }
   }
 
-  /** A line through these values, one a step; broken where there is none. */
+  /** Draws a line through the values, one per step, with gaps at NaN. */
   void line(String colour, double fromMs, double stepMs, double[] values) {
     StringBuilder path = new StringBuilder();
     boolean pen = false;
@@ -105,13 +105,13 @@
     add("<path fill='none' stroke='%s' stroke-width='1.8' d='%s'/>", colour, path);
   }
 
-  String done() {
+  String finish() {
     return String.format(
         Locale.ROOT, "<svg viewBox='0 0 %d %d' role='img'>%n%s</svg>%n", WIDTH, height, svg);
   }
 
-  /** The next round figure above, so that the marks are round as well. */
-  private static double nice(double value) {
+  /** Returns the next larger round number, so that the tick labels are round as well. */
+  private static double roundUp(double value) {
     double power = Math.pow(10, Math.floor(Math.log10(value)));
     for (double m : new double[] {1, 1.2, 1.6, 2, 2.4, 3.2, 4, 5, 6, 8}) {
       if (m * power >= value) {
--- a/src/main/java/hazelspoke/emulator/report/ProcessTimeline.java
+++ b/src/main/java/hazelspoke/emulator/report/ProcessTimeline.java
@@ -12,26 +12,26 @@
 import java.util.TreeSet;
 
 /**
- * What was wrong with each process and when: a lane a process. A fault between two processes stands
- * on the lane of either, with whom it cuts that one off from.
+ * The faults of each process over time, one lane per process. A fault of a link is shown on the
+ * lanes of both ends, with the other end.
  */
 public final class ProcessTimeline {
-  /** How much is wrong. */
+  /** The state of a process during a span. */
   public enum Kind {
-    /** Its process did not run, or did not take anybody. */
+    /** The process was not running or did not accept requests. */
     OUT,
-    /** It runs, and does something wrong or nothing. */
+    /** The process runs but is affected by a fault. */
     ILL,
-    /** Nothing is wrong: it leads those that share a record. */
+    /** The process is the leader of the record. */
     LEADS,
-    /** Nothing is wrong with it but the way to others. */
+    /** Only the links of the process to others are affected. */
     LINK
   }
 
-  /** A stretch of time, in milliseconds since the first request. */
+  /** An interval, in milliseconds since the start of the load. */
   public record Span(double fromMs, double toMs, Kind kind, String what) {}
 
-  /** One process. */
+  /** The spans of one process. */
   public record Lane(String process, List<Span> spans) {
     public Lane {
       spans = List.copyOf(spans);
@@ -43,31 +43,31 @@
   private ProcessTimeline() {}
 
   /**
-   * The lanes of all gateways, and of the hosts that something was wrong with.
+   * Returns the lanes of all gateways and of the affected hosts.
    *
-   * @param struck whom each of the faults struck, in the order of the script
-   * @param outages of gateways, as they were seen to be down
-   * @param leads when which gateway led, where they share a record
+   * @param affected the targets affected by each fault, in the order of the script
+   * @param outages observed outages of gateways
+   * @param leads the spans in which each gateway was leader, if there is a record
    */
   public static List<Lane> of(
       int gateways,
       List<Fault> faults,
-      List<List<String>> struck,
+      List<List<String>> affected,
       List<EventLog.Outage> outages,
       Map<String, List<Span>> leads) {
-    ProcessTimeline lanes = new ProcessTimeline();
+    ProcessTimeline timeline = new ProcessTimeline();
     for (int i = 1; i <= gateways; i++) {
-      lanes.spans.put("g" + i, new ArrayList<>());
+      timeline.spans.put("g" + i, new ArrayList<>());
     }
-    leads.forEach((gateway, spans) -> spans.forEach(span -> lanes.add(gateway, span)));
+    leads.forEach((gateway, spans) -> spans.forEach(span -> timeline.add(gateway, span)));
     for (EventLog.Outage o : outages) {
-      lanes.add("g" + (o.gateway() + 1), new Span(o.from(), o.to(), Kind.OUT, "not serving"));
+      timeline.add("g" + (o.gateway() + 1), new Span(o.from(), o.to(), Kind.OUT, "not serving"));
     }
     for (int i = 0; i < faults.size(); i++) {
-      lanes.add(faults.get(i), struck.get(i));
+      timeline.add(faults.get(i), affected.get(i));
     }
     List<Lane> out = new ArrayList<>();
-    lanes.spans.forEach((process, list) -> out.add(new Lane(process, list)));
+    timeline.spans.forEach((process, list) -> out.add(new Lane(process, list)));
     return List.copyOf(out);
   }
 
@@ -75,11 +75,11 @@
     spans.computeIfAbsent(process, p -> new ArrayList<>()).add(span);
   }
 
-  private void add(Fault fault, List<String> struck) {
+  private void add(Fault fault, List<String> affected) {
     String what = fault.kind().name().toLowerCase(Locale.ROOT).replace('_', ' ');
     if (fault.kind().subject() == Subject.LINKS) {
       Map<String, TreeSet<String>> from = new LinkedHashMap<>();
-      for (String name : struck) {
+      for (String name : affected) {
         LinkName link = LinkName.parse(name);
         from.computeIfAbsent(link.from(), p -> new TreeSet<>()).add(link.to());
         from.computeIfAbsent(link.to(), p -> new TreeSet<>()).add(link.from());
@@ -92,9 +92,9 @@
           fault.kind() == Fault.Kind.CRASH
               || fault.kind() == Fault.Kind.RESTART
               || fault.kind() == Fault.Kind.REPLACE;
-      struck.forEach(host -> add(host, span(fault, out ? Kind.OUT : Kind.ILL, what)));
+      affected.forEach(host -> add(host, span(fault, out ? Kind.OUT : Kind.ILL, what)));
     } else if (fault.kind().subject() == Subject.GATEWAYS) {
-      struck.forEach(gateway -> add(gateway, span(fault, Kind.ILL, what)));
+      affected.forEach(gateway -> add(gateway, span(fault, Kind.ILL, what)));
     }
   }
 
--- a/src/main/java/hazelspoke/emulator/report/Quantiles.java
+++ b/src/main/java/hazelspoke/emulator/report/Quantiles.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Exact quantiles of a set of figures: everything is there, so nothing need be estimated. */
+/** Exact quantiles of a set of values, computed from all of them. */
 public final class Quantiles {
   private final double[] sorted;
 
@@ -11,7 +11,10 @@
     Arrays.sort(sorted);
   }
 
-  /** The smallest figure that is not below a part {@code q} of them; NaN of none. */
+  /**
+   * Returns the smallest value that is at least as large as a fraction {@code q} of the values; NaN
+   * if there are none.
+   */
   public double at(double q) {
     return sorted.length == 0
         ? Double.NaN
--- a/src/main/java/hazelspoke/emulator/report/Results.java
+++ b/src/main/java/hazelspoke/emulator/report/Results.java
@@ -12,15 +12,16 @@
 import java.util.function.Function;
 
 /**
- * What a rehearsal came to. Times are in milliseconds since the start of the load.
+ * The results of a rehearsal. Times are in milliseconds since the start of the load.
  *
- * @param windows by 5 s
- * @param seconds the same by the second
- * @param digest of all that was fixed before the start
- * @param crashes gateways that ended by themselves
- * @param hosts the names in the order of {@code queues}
- * @param record null where the gateways share none
- * @param queues a row a second: what each host held, -1 where it was down or is not known
+ * @param windows outcomes per 5 s
+ * @param seconds outcomes per second
+ * @param digest of the inputs that were fixed before the start
+ * @param crashes number of gateways that exited unexpectedly
+ * @param hosts names of the hosts, in the order of {@code queues}
+ * @param record null if the gateways share no record
+ * @param queues one row per second: the requests at each host, -1 if it was down or the number is
+ *     unknown
  */
 public record Results(
     Script script,
@@ -41,7 +42,7 @@
     long repeats,
     RecordMetrics record) {
 
-  /** What was asked in a span of time, by the moment it was planned for. */
+  /** The requests that were planned for an interval. */
   public record Window(
       double fromMs,
       int requested,
@@ -53,7 +54,7 @@
       double p50Ms,
       double p99Ms) {}
 
-  /** One class over the whole rehearsal; quantiles are of what was served. */
+  /** One class over the complete rehearsal; quantiles are of served requests. */
   public record ClassResult(
       int requested,
       int served,
@@ -65,15 +66,15 @@
       double p99Ms) {}
 
   /**
-   * How late the emulator itself was, in milliseconds.
+   * The lag of the emulator itself, in milliseconds.
    *
-   * @param ranLate whether the day counts for nothing because of it
+   * @param ranLate whether the lag makes the rehearsal invalid
    */
   public record EmulatorLag(
       boolean ranLate, double arrivalsP99, double arrivalsMax, double loopP99, double loopMax) {}
 
   /**
-   * A gateway's process; figures a second, NaN where there is none.
+   * The process of a gateway; metrics per second, NaN if there is none.
    *
    * @param cpu cores in use
    */
@@ -86,14 +87,14 @@
       double[] memoryMb,
       double[] descriptors) {}
 
-  /** A fault in words, and what it did by the hosts that it struck. */
+  /** The description of a fault and its effect on each affected host. */
   public record FaultSummary(double atMs, double endMs, String what, List<FaultEffect> effects) {
     public FaultSummary {
       effects = List.copyOf(effects);
     }
   }
 
-  /** Breaches by rule, also of rules that were kept. */
+  /** Returns the number of violations per rule, including 0. */
   public Map<Rule, Integer> rules() {
     Map<Rule, Integer> out = new EnumMap<>(Rule.class);
     for (Rule rule : Rule.values()) {
@@ -103,7 +104,7 @@
     return out;
   }
 
-  /** The cores that a gateway had in use, over all of them and their seconds. */
+  /** Returns the mean number of cores in use per gateway, over all gateways and seconds. */
   public double meanCores() {
     return gateways.stream()
         .flatMapToDouble(g -> Arrays.stream(g.cpu()))
@@ -112,7 +113,7 @@
         .orElse(Double.NaN);
   }
 
-  /** The same of the gateway that had the most. */
+  /** Returns the highest mean number of cores in use of any gateway. */
   public double maxCores() {
     return gateways.stream()
         .mapToDouble(
@@ -121,25 +122,25 @@
         .orElse(Double.NaN);
   }
 
-  /** The most memory that a gateway had, in MB. */
+  /** Returns the maximum memory of any gateway, in MB. */
   public double maxMemoryMb() {
-    return most(g -> g.memoryMb());
+    return max(g -> g.memoryMb());
   }
 
-  /** The most descriptors that a gateway had open. */
+  /** Returns the maximum number of open descriptors of any gateway. */
   public double maxDescriptors() {
-    return most(g -> g.descriptors());
+    return max(g -> g.descriptors());
   }
 
-  private double most(Function<GatewayResult, double[]> figure) {
+  private double max(Function<GatewayResult, double[]> metric) {
     return gateways.stream()
-        .flatMapToDouble(g -> Arrays.stream(figure.apply(g)))
+        .flatMapToDouble(g -> Arrays.stream(metric.apply(g)))
         .filter(v -> !Double.isNaN(v))
         .max()
         .orElse(Double.NaN);
   }
 
-  /** Whether every rule was kept and no gateway crashed. */
+  /** Returns whether all rules were kept and no gateway crashed. */
   public boolean allRulesKept() {
     return violations.isEmpty() && crashes == 0;
   }
--- a/src/main/java/hazelspoke/emulator/report/Spread.java
+++ b/src/main/java/hazelspoke/emulator/report/Spread.java
@@ -4,14 +4,14 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** How far several plays of one script and seed lie apart. */
+/** Compares the results of several runs of one script and seed. */
 public final class Spread {
-  /** Plays are alike when no quantile differs by more than this part of the smallest. */
+  /** Runs are alike if no quantile differs by more than this fraction of the smallest value. */
   public static final double ALIKE = 0.1;
 
   private Spread() {}
 
-  /** A table of the quantiles of each class over all plays, with their spread. */
+  /** Returns a table of the quantiles of each class in all runs, with their spread. */
   public static String of(List<Results> plays) {
     StringBuilder out = new StringBuilder("\n");
     long digests = plays.stream().map(Results::digest).distinct().count();
@@ -45,16 +45,16 @@
       String name,
       String quantile,
       ToDoubleFunction<Results.ClassResult> of) {
-    double least = Double.POSITIVE_INFINITY;
-    double most = Double.NEGATIVE_INFINITY;
+    double min = Double.POSITIVE_INFINITY;
+    double max = Double.NEGATIVE_INFINITY;
     out.append(String.format(Locale.ROOT, "%-24s", name + " " + quantile + " ms"));
     for (Results play : plays) {
       double value = of.applyAsDouble(play.classes().get(name));
-      least = Math.min(least, value);
-      most = Math.max(most, value);
+      min = Math.min(min, value);
+      max = Math.max(max, value);
       out.append(String.format(Locale.ROOT, " %8.1f", value));
     }
-    double spread = most / least - 1;
+    double spread = max / min - 1;
     out.append(String.format(Locale.ROOT, " %7.1f %%%n", 100 * spread));
     return spread <= ALIKE;
   }
--- a/src/main/java/hazelspoke/emulator/report/TextReport.java
+++ b/src/main/java/hazelspoke/emulator/report/TextReport.java
@@ -6,11 +6,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The results as a page of text. */
+/** Prints the results as text. */
 public final class TextReport {
   private static final double MS = 1_000;
-  private static final int MOST_BREACHES = 10;
-  private static final int MOST_GATEWAYS = 6;
+  private static final int MAX_VIOLATIONS = 10;
+  private static final int MAX_GATEWAYS = 6;
 
   private final PrintStream out;
 
@@ -106,10 +106,10 @@
     }
   }
 
-  /** Every gateway by 5 s, where they are few enough for a line. */
+  /** Prints each gateway per 5 s, if all fit into one line. */
   private void processes(Results r) {
     boolean known = r.gateways().stream().anyMatch(g -> !Double.isNaN(max(g.memoryMb())));
-    if (!known || r.gateways().size() > MOST_GATEWAYS) {
+    if (!known || r.gateways().size() > MAX_GATEWAYS) {
       return;
     }
     line("");
@@ -140,15 +140,15 @@
         bySecond, Math.min(from, bySecond.length), Math.min(to, bySecond.length));
   }
 
-  /** Only the rules, and how late the emulator was. */
+  /** Prints only the rules and the lag of the emulator. */
   public void verdict(Results r) {
     line("");
-    for (Violation b : r.violations().stream().limit(MOST_BREACHES).toList()) {
+    for (Violation b : r.violations().stream().limit(MAX_VIOLATIONS).toList()) {
       line("BROKEN %s: %s at %.0f ms: %s", b.rule().reportName(), b.txn(), b.atMs(), b.what());
       b.details().forEach(d -> line("    %s", d));
     }
-    if (r.violations().size() > MOST_BREACHES) {
-      line("... and %d more", r.violations().size() - MOST_BREACHES);
+    if (r.violations().size() > MAX_VIOLATIONS) {
+      line("... and %d more", r.violations().size() - MAX_VIOLATIONS);
     }
     StringBuilder rules = new StringBuilder();
     r.rules()
--- a/src/main/java/hazelspoke/emulator/script/Fault.java
+++ b/src/main/java/hazelspoke/emulator/script/Fault.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * One thing that goes wrong, from {@code atMs} on for {@code forMs} (both since the first request
- * may be asked). What {@code factor}, {@code from} and {@code to} mean depends on the kind.
+ * A fault that begins at {@code atMs}, counted from the time of the first possible request, and
+ * lasts for {@code forMs}. The meaning of {@code factor}, {@code from} and {@code to} depends on
+ * the kind.
  *
- * @param target the hosts or gateways it strikes
- * @param silent of a site that goes dark: machines vanish instead of processes dying
- * @param every time between pauses, in milliseconds
+ * @param target the affected hosts or gateways
+ * @param silent for a site outage: machines become unreachable instead of processes exiting
+ * @param every interval between pauses, in milliseconds
  * @param requestClass the class that has a heavy tail
- * @param line where the script says so
+ * @param line line number in the script
  */
 public record Fault(
     Kind kind,
@@ -25,78 +26,86 @@
     String requestClass,
     int line) {
 
-  /** What can go wrong, and with what. */
+  /** The kinds of faults and what each affects. */
   public enum Kind {
-    /** The process dies; its connections are reset. It starts again, cold, when the time is up. */
+    /**
+     * The process exits and its connections are reset; it restarts cold at the end of the fault.
+     */
     CRASH(Subject.HOSTS, true),
-    /** Takes work and says nothing; its cores stand still. */
+    /** Accepts requests but does not process or answer them. */
     HANG(Subject.HOSTS, true),
-    /** Says nothing for the time, works on, and then answers everything at once. */
+    /** Processes requests but holds back all responses until the end of the fault. */
     FREEZE(Subject.HOSTS, true),
-    /** Freezes again and again: {@code freeze_ms} every {@code every_s}. */
+    /** Freezes repeatedly: for {@code freeze_ms} every {@code every_s}. */
     PAUSES(Subject.HOSTS, true),
-    /** Cores that are slower by {@code factor}. */
+    /** The cores are slower by {@code factor}. */
     SLOW(Subject.HOSTS, true),
-    /** A share of errors that goes from {@code from} to {@code to} along a line. */
+    /** An error rate that changes linearly from {@code from} to {@code to}. */
     ERRORS(Subject.HOSTS, true),
     /** A share {@code to} of the requests of one class needs {@code factor} times its work. */
     HEAVY_TAIL(Subject.LOAD, true),
-    /** A share {@code to} of the answers breaks off in the middle. */
+    /** A share {@code to} of the responses is cut off in the middle. */
     RESET(Subject.HOSTS, true),
-    /** New connections are refused; open ones go on. */
+    /** New connections are refused; open ones continue to work. */
     REFUSE(Subject.HOSTS, true),
-    /** Ends and starts again at once, cold, under its name. */
+    /** Exits and restarts at once, cold, under the same name. */
     RESTART(Subject.HOSTS, false),
-    /** Listed as terminating, finishes what it has, and is gone when the time is up. */
+    /** Listed as terminating, finishes its requests and is removed at the end of the fault. */
     DRAIN(Subject.HOSTS, true),
-    /** Drains, and when the time is up another under a new name starts at its address, cold. */
+    /** Drains; at the end of the fault a cold host with a new name starts at its address. */
     RELEASE(Subject.HOSTS, true),
-    /** Ends, and another under a new name starts at its address, cold. */
+    /** Exits, and a cold host with a new name starts at its address. */
     REPLACE(Subject.HOSTS, false),
-    /** All of a site, its gateways with it; comes back cold. */
+    /** Outage of a complete site including its gateways; it restarts cold. */
     SITE_DARK(Subject.SITE, true),
-    /** Hosts drain and leave for good. */
+    /** Hosts drain and are removed permanently. */
     SHRINK(Subject.HOSTS, true),
-    /** News of the list comes {@code factor} seconds later. */
+    /** Updates of the host list are delayed by {@code factor} seconds. */
     DISCOVERY_LATE(Subject.DISCOVERY, true),
-    /** Watches end and calls fail. */
+    /** Watches are closed and calls fail. */
     DISCOVERY_DOWN(Subject.DISCOVERY, true),
-    /** Discovery gets another address; configurations are replaced and gateways get SIGHUP. */
+    /**
+     * Discovery moves to another address; configurations are replaced and gateways receive SIGHUP.
+     */
     DISCOVERY_MOVED(Subject.DISCOVERY, false),
     GATEWAY_TERM(Subject.GATEWAYS, true),
     GATEWAY_KILL(Subject.GATEWAYS, true),
-    /** SIGSTOP, and SIGCONT when the time is up. */
+    /** SIGSTOP, and SIGCONT at the end of the fault. */
     GATEWAY_STOP(Subject.GATEWAYS, true),
-    /** SIGSTOP for so short a time that a gateway has to keep every rule all the same. */
+    /** SIGSTOP for so short a time that a gateway still has to keep every rule. */
     GATEWAY_PAUSE(Subject.GATEWAYS, true),
     GATEWAY_HUP(Subject.GATEWAYS, false),
-    /** Nothing more can be written to files; the gateway starts again when the time is up. */
+    /** File writes fail; the gateway restarts at the end of the fault. */
     DISK_FULL(Subject.GATEWAYS, true),
-    /** SIGKILL in the middle of a write: the newest segment of the record ends in half of one. */
+    /** SIGKILL during a write: the newest segment of the record ends with a partial write. */
     DISK_TORN(Subject.GATEWAYS, true),
-    /** SIGKILL, and one byte of the record is another when the process starts again. */
+    /** SIGKILL, and one byte of the record is altered before the process restarts. */
     DISK_FLIPPED(Subject.GATEWAYS, true),
-    /** SIGKILL, and the process starts again with an empty disk. */
+    /** SIGKILL, and the process restarts with an empty disk. */
     DISK_LOST(Subject.GATEWAYS, true),
-    /** Connections between the two are reset, and new ones refused. */
+    /** Connections between the two ends are reset and new ones refused. */
     LINK_CUT(Subject.LINKS, true),
-    /** Packets vanish both ways: connections stay, and new ones never come up. */
+    /**
+     * Packets are dropped in both directions: open connections stay, new ones are never
+     * established.
+     */
     LINK_SILENT(Subject.LINKS, true),
-    /** What the first says vanishes; what the second says arrives. */
+    /** Packets from the first end are dropped; those from the second arrive. */
     LINK_MUTE(Subject.LINKS, true),
-    /** What the first says arrives; what the second says vanishes. */
+    /** Packets from the first end arrive; those from the second are dropped. */
     LINK_DEAF(Subject.LINKS, true),
-    /** All bytes come {@code factor} milliseconds later, each way. */
+    /** All bytes are delayed by {@code factor} milliseconds in each direction. */
     LINK_SLOW(Subject.LINKS, true),
     /**
-     * Nothing passes for {@code factor} milliseconds {@code every} so often, as when TCP resends.
+     * Nothing passes for {@code factor} milliseconds in every {@code every}, as during TCP
+     * retransmission.
      */
     LINK_LOSSY(Subject.LINKS, true),
-    /** Cut for {@code factor} milliseconds {@code every} so often. */
+    /** Cut for {@code factor} milliseconds in every {@code every}. */
     LINK_FLAPPING(Subject.LINKS, true),
-    /** What is open is reset at both ends. */
+    /** Open connections are reset at both ends. */
     LINK_RESET(Subject.LINKS, false),
-    /** The second's ends of what is open are gone, and the first hears nothing of it. */
+    /** Open connections are lost at the second end, and the first end is not notified. */
     LINK_HALF_OPEN(Subject.LINKS, true);
 
     private final Subject subject;
@@ -111,23 +120,23 @@
       return subject;
     }
 
-    /** Whether it strikes what a gateway keeps of the record. */
+    /** Returns whether the fault affects the stored record of a gateway. */
     public boolean affectsDisk() {
       return this == DISK_FULL || this == DISK_TORN || losesVote();
     }
 
-    /** Whether a voter that it strikes comes back without a vote. */
+    /** Returns whether an affected voter restarts without its vote. */
     public boolean losesVote() {
       return this == DISK_FLIPPED || this == DISK_LOST;
     }
 
-    /** Whether it has a length. */
+    /** Returns whether the fault has a duration. */
     public boolean hasDuration() {
       return hasDuration;
     }
   }
 
-  /** What a fault is about. */
+  /** What a fault affects. */
   public enum Subject {
     HOSTS,
     SITE,
@@ -138,10 +147,10 @@
   }
 
   /**
-   * Which hosts or gateways: those named, or of the rest a share (0 to 1) of those of a kind and of
-   * a site; null and empty where nothing is said.
+   * Selects hosts or gateways: the named ones, or a share (0 to 1) of those of a kind and a site.
+   * Fields that the script omits are null or empty.
    *
-   * @param far of links: the hosts at their other ends; empty for all
+   * @param far for links, the hosts at the other ends; empty for all
    */
   public record Target(
       List<String> names, double share, String kind, String site, List<String> far) {
@@ -155,12 +164,12 @@
     }
   }
 
-  /** The same elsewhere. */
+  /** Returns a copy with another target. */
   public Fault withTarget(Target other) {
     return new Fault(kind, atMs, forMs, other, factor, from, to, silent, every, requestClass, line);
   }
 
-  /** When it is over, in milliseconds. */
+  /** Returns the end of the fault, in milliseconds since the start of the load. */
   public double endMs() {
     return atMs + forMs;
   }
--- a/src/main/java/hazelspoke/emulator/script/Script.java
+++ b/src/main/java/hazelspoke/emulator/script/Script.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A rehearsal as it was written: a fleet, a load and what goes wrong when. Times are in
- * milliseconds unless a name says otherwise. The README of {@code rehearsals/} has every key.
+ * The definition of a rehearsal: a fleet, a load and a schedule of faults. Times are in
+ * milliseconds unless a name says otherwise. The README of {@code rehearsals/} documents every key.
  */
 public record Script(
     String title,
@@ -20,18 +20,18 @@
     faults = List.copyOf(faults);
   }
 
-  /** The same with other faults. */
+  /** Returns a copy with other faults. */
   public Script withFaults(List<Fault> others) {
     return new Script(title, lengthMs, fleet, load, classes, discovery, checker, others);
   }
 
-  /** The same, so long, with so many gateways, each a process of its own. */
+  /** Returns a copy with another length and number of gateways, each in a process of its own. */
   public Script withProcesses(int gateways, double ms) {
     return new Script(
         title, ms, fleet.withProcesses(gateways), load, classes, discovery, checker, faults);
   }
 
-  /** The same with a record that so many gateways vote on and so many operators use. */
+  /** Returns a copy with a record that has this number of voters and operators. */
   public Script withRecord(int voters, int operators) {
     return new Script(
         title,
@@ -44,7 +44,7 @@
         faults);
   }
 
-  /** The same incident with other hosts in processes of their own. */
+  /** Returns a copy with other hosts in processes of their own. */
   public Script withSeparateProcessHosts(List<String> names) {
     return new Script(
         title,
@@ -58,13 +58,15 @@
   }
 
   /**
-   * @param inProcess gateways run in the emulator's own process and not as {@code run} says
-   * @param dropsCancelled what waits at a host is dropped when its gateway gives it up
-   * @param dropsExpired what is over when its turn comes is turned away
-   * @param coldMs after which every server is warm, the first ones at 0.42 of it
-   * @param separateProcessHosts names of hosts that run as processes of their own
-   * @param voters how many gateways vote on the fleet's record; 0 where it is off
-   * @param operators how many use that record all the time, besides the gateways
+   * @param inProcess whether gateways run in the emulator's process instead of as {@code run}
+   *     specifies
+   * @param dropsCancelled whether a host drops a queued request when its gateway cancels it
+   * @param dropsExpired whether a host rejects a request whose deadline has passed when it is
+   *     dequeued
+   * @param coldMs time after which every server is warm; the first ones are warm after 0.42 of it
+   * @param separateProcessHosts names of hosts that run in processes of their own
+   * @param voters number of gateways that vote on the fleet's record; 0 if it is off
+   * @param operators number of clients that use the record all the time, besides the gateways
    */
   public record Fleet(
       List<String> sites,
@@ -119,7 +121,7 @@
     }
   }
 
-  /** How the rate of asking moves. */
+  /** How the request rate varies over time. */
   public enum Shape {
     STEADY,
     BURSTY,
@@ -127,14 +129,14 @@
   }
 
   /**
-   * @param rate requests a second over all sites, first tries only
-   * @param swing by what part of the rate it moves
-   * @param keys distinct keys, the n-th asked for in proportion to {@code 1 / n^zipf}
-   * @param retries how often a client asks again
-   * @param tryShare a try is given up after this part of the deadline
-   * @param honour the share of the clients that heed {@code Retry-After}
-   * @param slowShare the share of the requests with a body whose rest comes later than its head
-   * @param slowMs how much later at most, drawn evenly
+   * @param rate requests per second over all sites, excluding retries
+   * @param swing relative variation of the rate
+   * @param keys number of distinct keys; the n-th is requested in proportion to {@code 1 / n^zipf}
+   * @param retries maximum number of retries of a client
+   * @param tryShare a client attempt times out after this part of the deadline
+   * @param honour the share of clients that honour {@code Retry-After}
+   * @param slowShare the share of requests whose remaining body arrives later than its head
+   * @param slowMs maximum of that delay, uniformly distributed
    */
   public record Load(
       double rate,
@@ -154,10 +156,10 @@
     }
   }
 
-  /** From one time to another the rate is {@code factor} times as high. */
+  /** An interval in which the rate is multiplied by {@code factor}. */
   public record Surge(double atMs, double forMs, double factor) {}
 
-  /** How a class may be repeated: in the words of the settings. */
+  /** How a class may be repeated, as in the settings. */
   public enum Effect {
     REPEATABLE,
     BY_KEY,
@@ -176,15 +178,15 @@
       Effect effect,
       double windowMs) {}
 
-  /** Whether the list is asked for or pushed. */
+  /** Whether gateways request the host list or discovery pushes it. */
   public enum Mode {
     ASKED,
     PUSHED
   }
 
   /**
-   * @param linesPerS what it can tell in a second, 0 for no limit
-   * @param callLines what a call costs besides its entries
+   * @param linesPerS entries that discovery can send per second; 0 for no limit
+   * @param callLines fixed cost of a call, in entries
    */
   public record Discovery(
       Mode mode,
@@ -196,9 +198,9 @@
       double timeoutMs) {}
 
   /**
-   * @param slackMs what each time limit of a rule is longer by
-   * @param lateMs a day counts for nothing when one arrival in a hundred, or one look at the clock,
-   *     was later than this
+   * @param slackMs extension of each time limit of the rules
+   * @param lateMs a rehearsal is invalid if more than 1 % of the arrivals or of the clock readings
+   *     were later than this
    */
   public record CheckerSettings(double slackMs, double lateMs) {}
 }
--- a/src/main/java/hazelspoke/emulator/script/ScriptException.java
+++ b/src/main/java/hazelspoke/emulator/script/ScriptException.java
@@ -1,6 +1,9 @@
 package hazelspoke.emulator.script;
 
-/** A script that cannot be played; the message is one line: file, line, key, what was expected. */
+/**
+ * Thrown for a script that cannot be run; the message is one line with file, line, key and the
+ * expected value.
+ */
 public final class ScriptException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/hazelspoke/emulator/script/ScriptReader.java
+++ b/src/main/java/hazelspoke/emulator/script/ScriptReader.java
@@ -9,29 +9,29 @@
 import org.tomlj.TomlParseError;
 import org.tomlj.TomlParseResult;
 
-/** Reads a script (TOML 1.0) and checks all of it before anything is started. */
+/** Reads a script (TOML 1.0) and validates all of it before anything is started. */
 public final class ScriptReader {
   private static final double MS = 1_000;
-  private static final double LONGEST_S = 7_200;
+  private static final double MAX_LENGTH_S = 7_200;
 
-  /** What one rehearsal may ask in all; the ledger holds all of it until the end. */
-  private static final double MOST_REQUESTS = 2_000_000;
+  /** Maximum number of requests of a rehearsal; the event log keeps all of them in memory. */
+  private static final double MAX_REQUESTS = 2_000_000;
 
-  private static final int MOST_HOSTS = 500;
-  private static final int MOST_GATEWAYS = 200;
+  private static final int MAX_HOSTS = 500;
+  private static final int MAX_GATEWAYS = 200;
 
   private ScriptReader() {}
 
   /**
-   * @param file the name to be used in complaints
-   * @throws ScriptException for whatever cannot be played, with its line
+   * @param file the name to use in error messages
+   * @throws ScriptException if the script is invalid, with the line of the error
    */
   public static Script read(String file, String text) throws ScriptException {
     TomlParseResult result;
     try {
       result = Toml.parse(text);
     } catch (RuntimeException | AssertionError e) {
-      // The library breaks on some escapes that are none, and does not say where.
+      // The library throws on some invalid escapes without reporting the line.
       int line =
           1
               + (int)
@@ -48,16 +48,17 @@
     }
     ScriptTable root = new ScriptTable(file, "", result, 1);
     String title = root.text("title", file);
-    double lengthMs = millis(root.number("length_s", 1, LONGEST_S));
+    double lengthMs = millis(root.number("length_s", 1, MAX_LENGTH_S));
     Script.Fleet fleet = fleet(root.table("fleet"));
     Script.Load load = load(root.table("load"), lengthMs);
     List<Script.RequestClass> classes = classes(root.tables("class"), root);
     Script.Discovery discovery = discovery(root.table("discovery"));
-    ScriptTable judging = root.table("judge");
+    ScriptTable checkerTable = root.table("judge");
     Script.CheckerSettings checker =
         new Script.CheckerSettings(
-            judging.number("slack_ms", 50, 0, 60_000), judging.number("late_ms", 20, 1, 60_000));
-    judging.rejectUnknownKeys();
+            checkerTable.number("slack_ms", 50, 0, 60_000),
+            checkerTable.number("late_ms", 20, 1, 60_000));
+    checkerTable.rejectUnknownKeys();
     List<Fault> faults = new ArrayList<>();
     for (ScriptTable table : root.tables("fault")) {
       faults.add(fault(table, fleet, classes, lengthMs));
@@ -76,8 +77,8 @@
     Script.Fleet fleet =
         new Script.Fleet(
             sites,
-            t.whole("gateways", 2, 1, MOST_GATEWAYS),
-            t.whole("servers", 12, 1, MOST_HOSTS),
+            t.whole("gateways", 2, 1, MAX_GATEWAYS),
+            t.whole("servers", 12, 1, MAX_HOSTS),
             t.number("large", 0.37, 0, 1),
             t.number("medium", 0.26, 0, 1),
             t.number("small", 0.37, 0, 1),
@@ -115,15 +116,15 @@
     for (ScriptTable s : t.tables("surge")) {
       surges.add(
           new Script.Surge(
-              millis(s.number("at_s", 0, LONGEST_S)),
-              millis(s.number("for_s", 0.001, LONGEST_S)),
+              millis(s.number("at_s", 0, MAX_LENGTH_S)),
+              millis(s.number("for_s", 0.001, MAX_LENGTH_S)),
               s.number("factor", 0, 100)));
       s.rejectUnknownKeys();
       most *= Math.max(1, surges.get(surges.size() - 1).factor());
     }
     double rate = t.number("rate", 0.1, 50_000);
-    if (rate * most * lengthMs / MS > MOST_REQUESTS) {
-      throw t.fail("rate", "expected at most " + (int) MOST_REQUESTS + " requests in all");
+    if (rate * most * lengthMs / MS > MAX_REQUESTS) {
+      throw t.fail("rate", "expected at most " + (int) MAX_REQUESTS + " requests in all");
     }
     Script.Load load =
         new Script.Load(
@@ -196,7 +197,7 @@
     t.require("what", "what goes wrong");
     Kind kind = t.word("what", null, Kind.class);
     double atMs = millis(t.number("at_s", 0, lengthMs / MS));
-    double forMs = kind.hasDuration() ? millis(t.number("for_s", 0.001, LONGEST_S)) : 0;
+    double forMs = kind.hasDuration() ? millis(t.number("for_s", 0.001, MAX_LENGTH_S)) : 0;
     Subject subject = kind.subject();
     Target target = target(t, subject, fleet);
     double factor = 1;
@@ -238,18 +239,18 @@
       }
       case SITE_DARK -> silent = t.flag("silent", false);
       default -> {
-        // No figures of its own.
+        // This kind has no parameters.
       }
     }
-    checkFits(t, kind, target, fleet);
+    checkSupported(t, kind, target, fleet);
     int line = t.lineOf("what");
     t.rejectUnknownKeys();
     return new Fault(
         kind, atMs, forMs, target, factor, from, to, silent, every, requestClass, line);
   }
 
-  /** What a process of its own can be struck by is what a signal can do. */
-  private static void checkFits(ScriptTable t, Kind kind, Target target, Script.Fleet fleet)
+  /** A host in a process of its own supports only the faults that a signal can cause. */
+  private static void checkSupported(ScriptTable t, Kind kind, Target target, Script.Fleet fleet)
       throws ScriptException {
     if ((kind == Kind.GATEWAY_STOP || kind == Kind.GATEWAY_PAUSE) && fleet.inProcess()) {
       throw t.fail("what", "expected gateways to be processes: fleet.in_process must be false");
@@ -309,7 +310,7 @@
     }
   }
 
-  /** One kind of ends of links; empty, for all of them, where nothing is said. */
+  /** Returns the names at one end of the links; empty, which means all, if the key is absent. */
   private static List<String> ends(ScriptTable t, String key, String letter, int most)
       throws ScriptException {
     List<String> names = t.texts(key, List.of());
@@ -319,7 +320,7 @@
     return names;
   }
 
-  /** Hosts, and other gateways where these speak to one another. */
+  /** Returns the far ends of links: hosts, and gateways if these communicate with one another. */
   private static List<String> farEnds(ScriptTable t, Script.Fleet fleet) throws ScriptException {
     List<String> names = t.texts("to", List.of());
     for (String name : names) {
@@ -329,7 +330,10 @@
     return names;
   }
 
-  /** Seconds in milliseconds, to the microsecond: 16.056 s is 16,056 ms and nothing beside it. */
+  /**
+   * Converts seconds to milliseconds, rounded to the microsecond, so that 16.056 s is exactly
+   * 16,056 ms.
+   */
   private static double millis(double seconds) {
     return Math.rint(MS * MS * seconds) / MS;
   }
--- a/src/main/java/hazelspoke/emulator/script/ScriptTable.java
+++ b/src/main/java/hazelspoke/emulator/script/ScriptTable.java
@@ -11,7 +11,7 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** One table of a script, read with checks: every complaint names its file, line and key. */
+/** A validated view of one table of a script; every error names its file, line and key. */
 final class ScriptTable {
   private final String file;
   private final String path;
@@ -31,28 +31,28 @@
     return table.contains(List.of(key));
   }
 
-  /** A number from {@code least} to {@code most}; {@code absent} where the key is not given. */
-  double number(String key, double absent, double least, double most) throws ScriptException {
+  /** Returns a number from {@code min} to {@code max}, or {@code absent} if the key is missing. */
+  double number(String key, double absent, double min, double max) throws ScriptException {
     if (!has(key)) {
       return absent;
     }
     double value = number(table.get(List.of(key)));
-    if (!(value >= least && value <= most)) {
-      throw fail(key, "expected a number from " + plain(least) + " to " + plain(most));
+    if (!(value >= min && value <= max)) {
+      throw fail(key, "expected a number from " + plain(min) + " to " + plain(max));
     }
     return value;
   }
 
-  /** A number that must be given. */
-  double number(String key, double least, double most) throws ScriptException {
-    require(key, "a number from " + plain(least) + " to " + plain(most));
-    return number(key, 0, least, most);
+  /** Returns the number of a required key. */
+  double number(String key, double min, double max) throws ScriptException {
+    require(key, "a number from " + plain(min) + " to " + plain(max));
+    return number(key, 0, min, max);
   }
 
-  int whole(String key, int absent, int least, int most) throws ScriptException {
-    double value = number(key, absent, least, most);
+  int whole(String key, int absent, int min, int max) throws ScriptException {
+    double value = number(key, absent, min, max);
     if (value != (int) value) {
-      throw fail(key, "expected a whole number from " + least + " to " + most);
+      throw fail(key, "expected a whole number from " + min + " to " + max);
     }
     return (int) value;
   }
@@ -77,7 +77,10 @@
     throw fail(key, "expected a text in quotes");
   }
 
-  /** One of the constants of an enum, written in lower case; null where absent is null. */
+  /**
+   * Returns an enum constant that is written in lower case, or {@code absent} if the key is
+   * missing.
+   */
   <T extends Enum<T>> T word(String key, T absent, Class<T> type) throws ScriptException {
     String text = text(key, null);
     if (text == null) {
@@ -113,7 +116,7 @@
     throw fail(key, "expected a list of different texts, not empty");
   }
 
-  /** A table within this one; an empty one where it is not given. */
+  /** Returns a nested table, empty if the key is missing. */
   ScriptTable table(String key) throws ScriptException {
     if (!has(key)) {
       return new ScriptTable(file, join(key), Toml.parse(""), line);
@@ -124,7 +127,7 @@
     throw fail(key, "expected a table");
   }
 
-  /** The tables of an array of tables, in the order of the script. */
+  /** Returns the elements of an array of tables, in the order of the script. */
   List<ScriptTable> tables(String key) throws ScriptException {
     List<ScriptTable> out = new ArrayList<>();
     if (has(key)) {
@@ -143,7 +146,7 @@
     return out;
   }
 
-  /** Refuses keys that nobody asked for: a misspelt one would otherwise be passed over. */
+  /** Rejects keys that were not read; a misspelt key would otherwise be ignored. */
   void rejectUnknownKeys() throws ScriptException {
     for (String key : table.keySet()) {
       if (!known.contains(key)) {
@@ -162,7 +165,7 @@
     return new ScriptException(file, lineOf(key), join(key), expected);
   }
 
-  /** The line of a key, or of the table where the key is not given. */
+  /** Returns the line of a key, or of the table if the key is missing. */
   int lineOf(String key) {
     TomlPosition position = table.inputPositionOf(List.of(key));
     return position == null ? line : position.line();
--- a/src/main/java/hazelspoke/emulator/script/ScriptWriter.java
+++ b/src/main/java/hazelspoke/emulator/script/ScriptWriter.java
@@ -6,13 +6,13 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** Writes a script so that {@link ScriptReader} reads the same one again. */
+/** Writes a script as TOML that {@link ScriptReader} reads back as an equal script. */
 public final class ScriptWriter {
   private final StringBuilder out = new StringBuilder();
 
   private ScriptWriter() {}
 
-  /** The script as TOML; every key is written, also where it is the default. */
+  /** Returns the script as TOML, with every key, including those with default values. */
   public static String write(Script script) {
     ScriptWriter w = new ScriptWriter();
     w.text("title", script.title());
@@ -100,7 +100,7 @@
       seconds("for_s", f.forMs());
     }
     target(f);
-    figures(f);
+    parameters(f);
   }
 
   private void target(Fault f) {
@@ -121,7 +121,7 @@
         texts("to", t.far());
       }
       default -> {
-        // Strikes nobody by name.
+        // These faults have no named targets.
       }
     }
     if (t.site() != null) {
@@ -129,7 +129,7 @@
     }
   }
 
-  private void figures(Fault f) {
+  private void parameters(Fault f) {
     switch (f.kind()) {
       case SLOW -> number("factor", f.factor());
       case DISCOVERY_LATE -> number("by_s", f.factor());
@@ -138,10 +138,10 @@
         number("to", f.to());
       }
       case RESET -> number("rate", f.to());
-      case PAUSES -> again(f, "freeze_ms");
+      case PAUSES -> repetition(f, "freeze_ms");
       case LINK_SLOW -> number("delay_ms", f.factor());
-      case LINK_LOSSY -> again(f, "burst_ms");
-      case LINK_FLAPPING -> again(f, "down_ms");
+      case LINK_LOSSY -> repetition(f, "burst_ms");
+      case LINK_FLAPPING -> repetition(f, "down_ms");
       case HEAVY_TAIL -> {
         number("factor", f.factor());
         number("rate", f.to());
@@ -149,12 +149,12 @@
       }
       case SITE_DARK -> flag("silent", f.silent());
       default -> {
-        // No figures of its own.
+        // This kind has no parameters.
       }
     }
   }
 
-  private void again(Fault f, String length) {
+  private void repetition(Fault f, String length) {
     seconds("every_s", f.every());
     number(length, f.factor());
   }
@@ -172,7 +172,7 @@
   }
 
   private void seconds(String key, double ms) {
-    // By decimals, as a division by a thousand in binary need not lead back.
+    // Decimal arithmetic, as a binary division by 1,000 is not always reversible.
     BigDecimal value = BigDecimal.valueOf(ms).movePointLeft(3).stripTrailingZeros();
     line(key, value.toPlainString());
   }
