--- a/src/main/java/hazelspoke/emulator/run/Fleet.java
+++ b/src/main/java/hazelspoke/emulator/run/Fleet.java
@@ -40,7 +40,7 @@
   Fleet(
       EmulatorLoop emulatorLoop,
       World world,
-      EventLog ledger,
+      EventLog eventLog,
       Registry registry,
       Links links,
       HostProcesses hostProcesses)
@@ -58,7 +58,7 @@
       var address = Ports.free(HOST_NET, number++);
       StockHost host =
           script.fleet().separateProcessHosts().contains(spec.name())
-              ? hostProcesses.host(emulatorLoop, spec, address, ledger)
+              ? hostProcesses.host(emulatorLoop, spec, address, eventLog)
               : connected(
                   links,
                   new Host(
@@ -67,7 +67,7 @@
                       address,
                       rules,
                       idempotencyWindows.get(spec.site()),
-                      new LedgerSink(ledger)));
+                      new LedgerSink(eventLog)));
       hosts.put(spec.name(), host);
     }
   }
--- a/src/main/java/hazelspoke/emulator/run/HostProcesses.java
+++ b/src/main/java/hazelspoke/emulator/run/HostProcesses.java
@@ -38,25 +38,25 @@
   }
 
   StockHost host(
-      EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, EventLog ledger) {
-    return new HostProcess(emulatorLoop, spec, address, ledger);
+      EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, EventLog eventLog) {
+    return new HostProcess(emulatorLoop, spec, address, eventLog);
   }
 
   private final class HostProcess implements StockHost {
     private final EmulatorLoop emulatorLoop;
     private final ServerSpec spec;
     private final InetSocketAddress address;
-    private final EventLog ledger;
+    private final EventLog eventLog;
     private final Map<String, Attempt> openAttempts = new HashMap<>();
     private OsProcess osProcess;
     private int starts;
 
     HostProcess(
-        EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, EventLog ledger) {
+        EmulatorLoop emulatorLoop, ServerSpec spec, InetSocketAddress address, EventLog eventLog) {
       this.emulatorLoop = emulatorLoop;
       this.spec = spec;
       this.address = address;
-      this.ledger = ledger;
+      this.eventLog = eventLog;
     }
 
     @Override
@@ -128,7 +128,7 @@
       if (words[0].equals("received")) {
         openAttempts.put(
             id,
-            ledger.received(
+            eventLog.received(
                 words[2],
                 spec.name(),
                 spec.group(),
--- a/src/main/java/hazelspoke/emulator/run/RecordClients.java
+++ b/src/main/java/hazelspoke/emulator/run/RecordClients.java
@@ -45,7 +45,7 @@
   private int writes;
   private int unknown;
   private int unanswered;
-  private RecordMetrics figures;
+  private RecordMetrics metrics;
 
   RecordClients(List<InetSocketAddress> gateways, int clients, long seed) {
     this.clients = clients;
@@ -74,7 +74,7 @@
       Thread.currentThread().interrupt();
     }
     synchronized (this) {
-      if (figures == null) {
+      if (metrics == null) {
         List<String> errors = new ArrayList<>();
         histories.forEach(
             (key, history) -> {
@@ -84,7 +84,7 @@
               }
             });
         longestGapNanos = Math.max(longestGapNanos, System.nanoTime() - lastAnswerNanos);
-        figures =
+        metrics =
             new RecordMetrics(
                 reads,
                 writes,
@@ -95,7 +95,7 @@
                 longestGapNanos / 1e6,
                 errors);
       }
-      return figures;
+      return metrics;
     }
   }
 
--- a/src/main/java/hazelspoke/emulator/run/Rehearsal.java
+++ b/src/main/java/hazelspoke/emulator/run/Rehearsal.java
@@ -59,7 +59,7 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EmulatorLoop emulatorLoop = new EmulatorLoop(group.next());
-  private final EventLog ledger = new EventLog();
+  private final EventLog eventLog = new EventLog();
   private final Registry registry = new Registry();
   private final List<Clients> clients = new ArrayList<>();
   private final List<Outcome> outcomes = new ArrayList<>();
@@ -74,7 +74,7 @@
   private RecordClients recordClients;
 
   private RecordMonitor monitor;
-  private RecordMetrics recordFigures;
+  private RecordMetrics recordMetrics;
 
   /** Null if gateways call hosts directly. */
   private Links links;
@@ -120,11 +120,11 @@
     }
     Discovery discovery =
         new Discovery(
-            emulatorLoop, ledger, registry, links, script.discovery(), ConfigFile.MUST_ASK_MS);
+            emulatorLoop, eventLog, registry, links, script.discovery(), ConfigFile.MUST_ASK_MS);
     try {
-      fleet = new Fleet(emulatorLoop, world, ledger, registry, links, hostProcesses);
+      fleet = new Fleet(emulatorLoop, world, eventLog, registry, links, hostProcesses);
       gateways =
-          new Gateways(emulatorLoop, world, ledger, registry, discovery, links, launcher, folder);
+          new Gateways(emulatorLoop, world, eventLog, registry, discovery, links, launcher, folder);
       if (sharesRecord) {
         emulatorLoop
             .loop()
@@ -169,13 +169,15 @@
       await();
       if (recordClients != null) {
         monitor.stop();
-        recordFigures =
-            record.stop().withObservations(monitor.lead(script.lengthMs()), gateways.replacedDisks());
+        recordMetrics =
+            recordClients
+                .stop()
+                .withObservations(monitor.lead(script.lengthMs()), gateways.replacedDisks());
       }
       onLoop(gateways::recordOpenOutages);
       gateways.close();
       onLoop(() -> clients.forEach(Clients::close));
-      onLoop(() -> ledger.shiftTimes(-startMs));
+      onLoop(() -> eventLog.shiftTimes(-startMs));
       // Runs on the loop, as the lag monitor still updates its samples there.
       return emulatorLoop.loop().submit(this::results).syncUninterruptibly().getNow();
     } finally {
@@ -234,7 +236,7 @@
               emulatorLoop,
               script,
               world.seed(),
-              ledger,
+              eventLog,
               endpoints,
               script.fleet().sockets() / 3,
               this::onOutcome));
@@ -323,7 +325,7 @@
   }
 
   private Results results() {
-    OutcomeStatistics tally = new OutcomeStatistics(script, outcomes);
+    OutcomeStatistics statistics = new OutcomeStatistics(script, outcomes);
     double lateMs = script.checker().lateMs();
     Results.EmulatorLag late =
         new Results.EmulatorLag(
@@ -350,10 +352,10 @@
         script,
         world.seed(),
         world.digest(),
-        tally.windows(OutcomeStatistics.WINDOW_MS),
-        tally.windows(OutcomeStatistics.PLOT_MS),
-        tally.classes(),
-        breaches(),
+        statistics.windows(OutcomeStatistics.WINDOW_MS),
+        statistics.windows(OutcomeStatistics.PLOT_MS),
+        statistics.classes(),
+        violations(),
         gateways.all().stream().mapToInt(g -> g.crashes).sum(),
         late,
         gatewayResults(),
@@ -362,19 +364,19 @@
             world.gatewaySites().size(),
             script.faults(),
             world.affected(),
-            ledger.outages(),
+            eventLog.outages(),
             monitor == null ? Map.of() : monitor.leads()),
         fleet.all().stream().map(StockHost::name).toList(),
         queues,
-        ledger.attemptCount(),
+        eventLog.attemptCount(),
         repeats,
-        recordFigures);
+        recordMetrics);
   }
 
-  private List<Violation> breaches() {
-    List<Violation> all = new ArrayList<>(RuleChecker.check(script, ledger));
-    if (recordFigures != null) {
-      recordFigures
+  private List<Violation> violations() {
+    List<Violation> all = new ArrayList<>(RuleChecker.check(script, eventLog));
+    if (recordMetrics != null) {
+      recordMetrics
           .violations()
           .forEach(
               what -> all.add(new Violation(Rule.RECORD, script.lengthMs(), "", what, List.of())));
@@ -390,7 +392,7 @@
   private List<FaultEffect> effects(Fault fault, List<String> affected) {
     return fault.kind().subject() == Fault.Subject.HOSTS && fault.kind().hasDuration()
         ? affected.stream()
-            .map(h -> FaultEffect.of(ledger, h, fault.atMs(), fault.endMs()))
+            .map(h -> FaultEffect.of(eventLog, h, fault.atMs(), fault.endMs()))
             .toList()
         : List.of();
   }
@@ -399,7 +401,7 @@
     int n = gateways.all().size();
     int[] asked = new int[n];
     int[] answered = new int[n];
-    for (EventLog.ClientAttempt t : ledger.clientAttempts()) {
+    for (EventLog.ClientAttempt t : eventLog.clientAttempts()) {
       asked[t.gateway]++;
       answered[t.gateway] += t.end == EventLog.ClientAttemptEnd.ANSWERED ? 1 : 0;
     }
