--- a/src/test/java/hazelspoke/emulator/judge/FaultEffectTest.java
+++ b/src/test/java/hazelspoke/emulator/judge/FaultEffectTest.java
@@ -6,20 +6,20 @@
 import hazelspoke.emulator.judge.EventLog.ClientAttemptEnd;
 import org.junit.jupiter.api.Test;
 
-/** What a fault did is read from what hosts and clients saw. */
+/** Tests that the effect of a fault is derived from the observations of hosts and clients. */
 class FaultEffectTest {
   private final EventLog eventLog = new EventLog();
-  private int tries;
+  private int clientAttempts;
 
   private void sent(double earliest, double receivedAt, int status) {
-    ClientAttempt t = eventLog.requestStarted("t" + tries++, 0, 0, 0, false, 1e9);
+    ClientAttempt t = eventLog.requestStarted("t" + clientAttempts++, 0, 0, 0, false, 1e9);
     t.end = ClientAttemptEnd.ANSWERED;
     t.status = status;
     eventLog.received(t.txn, "s1", 0, receivedAt, earliest);
   }
 
   @Test
-  void theCaughtAreCountedByWhatBecameOfThem() {
+  void countsAffectedRequestsByOutcome() {
     for (int t = 5_000; t < 10_000; t += 100) {
       sent(t, t, 200);
     }
@@ -34,9 +34,12 @@
         .isEqualTo(new FaultEffect("s1", 3, 1, 1, 1, 300, 340));
   }
 
-  /** All that a stopped process got is read when it goes on, and can have come any time before. */
+  /**
+   * A stopped process reads all its requests when it resumes; they can have been sent any time
+   * before.
+   */
   @Test
-  void whatIsReadAtTheEndOfAStandstillWasCaughtByIt() {
+  void countsRequestsReadAfterAStallAsAffected() {
     sent(9_000, 9_000, 200);
     sent(9_995, 12_003, 502);
     sent(9_995, 12_004, 502);
@@ -46,7 +49,7 @@
   }
 
   @Test
-  void whereNothingCameThereIsNothingToTellTimesBy() {
+  void reportsNoTimesWithoutRequests() {
     FaultEffect none = FaultEffect.of(eventLog, "s1", 10_000, 12_000);
     assertThat(none.affectedRequests()).isZero();
     assertThat(none.timeToSkipMs()).isNaN();
--- a/src/test/java/hazelspoke/emulator/judge/LinearizabilityTest.java
+++ b/src/test/java/hazelspoke/emulator/judge/LinearizabilityTest.java
@@ -8,10 +8,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The search finds an order where there is one, and convicts where there is none. */
+/** Tests that the search accepts linearizable histories and rejects all others. */
 class LinearizabilityTest {
   @Test
-  void aReadMayNotBeOlderThanAnAnswerBeforeIt() {
+  void rejectsReadOlderThanCompletedWrite() {
     Call written = Call.write(0, 10, -1, "a", true, 5);
     assertThat(Linearizability.check(List.of(written, Call.read(5, 12, 0, null)))).isNull();
     assertThat(Linearizability.check(List.of(written, Call.read(11, 12, 5, "a")))).isNull();
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void twoReadsMayNotGoBack() {
+  void rejectsSecondReadOlderThanFirst() {
     Call slow = Call.write(0, 100, -1, "a", true, 5);
     assertThat(
             Linearizability.check(
@@ -29,21 +29,21 @@
   }
 
   @Test
-  void aLostWriteMayHaveTakenHoldOrNot() {
+  void acceptsWriteWithUnknownEndWithOrWithoutEffect() {
     Call lost = Call.withUnknownEnd(0, 0, "a");
     Call next = Call.write(20, 30, 0, "b", true, 7);
     assertThat(Linearizability.check(List.of(lost, next))).isNull();
     assertThat(Linearizability.check(List.of(lost, Call.read(10, 12, 4, "a")))).isNull();
     assertThat(Linearizability.check(List.of(lost, Call.read(10, 12, 4, "a"), next)))
-        .as("a write that expects nothing after somebody has read something")
+        .as("a write that expects an empty register after a read of a value")
         .contains("no order");
     assertThat(Linearizability.check(List.of(lost, Call.write(20, 30, 0, "b", false, 4))))
-        .as("turned down by what the lost one has written")
+        .as("rejected because of the write with an unknown end")
         .isNull();
   }
 
   @Test
-  void aWriteThatCountsTwiceIsFound() {
+  void rejectsWriteThatTakesEffectTwice() {
     Call lost = Call.write(0, 50, -1, "a", true, 3);
     Call other = Call.write(10, 20, -1, "b", true, 6);
     assertThat(
@@ -52,29 +52,31 @@
         .contains("no order");
   }
 
-  /** Histories of a true register always pass; with one answer changed nearly all are found. */
+  /**
+   * Histories of a correct register pass; with the version of one read changed they are rejected.
+   */
   @Test
-  void trueHistoriesPassAndForgedOnesDoNot() {
-    int convicted = 0;
-    int forged = 0;
+  void acceptsCorrectHistoriesAndRejectsAlteredOnes() {
+    int rejected = 0;
+    int altered = 0;
     for (int seed = 0; seed < 200; seed++) {
       List<Call> calls = history(new Random(seed));
       assertThat(Linearizability.check(calls)).as("seed %d", seed).isNull();
       Random random = new Random(~seed);
       int at = random.nextInt(calls.size());
       Call c = calls.get(at);
-      boolean ofLost =
+      boolean ofUnknownEnd =
           calls.stream()
               .anyMatch(w -> w.to() == Linearizability.UNKNOWN && w.value().equals(c.value()));
-      // The version of a lost write is known by its readers alone.
-      if (!c.writes() && !ofLost) {
+      // The version of a write with an unknown end is known only from its readers.
+      if (!c.writes() && !ofUnknownEnd) {
         calls.set(at, Call.read(c.from(), c.to(), c.version() + 1, c.value()));
-        forged++;
-        convicted += Linearizability.check(calls) == null ? 0 : 1;
+        altered++;
+        rejected += Linearizability.check(calls) == null ? 0 : 1;
       }
     }
-    assertThat(forged).isGreaterThan(50);
-    assertThat(convicted).isEqualTo(forged);
+    assertThat(altered).isGreaterThan(50);
+    assertThat(rejected).isEqualTo(altered);
   }
 
   private static List<Call> history(Random random) {
@@ -92,9 +94,9 @@
       } else {
         version += 1 + random.nextInt(3);
         value = "v" + i;
-        boolean lost = random.nextInt(6) == 0;
+        boolean unknownEnd = random.nextInt(6) == 0;
         out.add(
-            lost
+            unknownEnd
                 ? Call.withUnknownEnd(from, -1, value)
                 : Call.write(from, to, -1, value, true, version));
       }
--- a/src/test/java/hazelspoke/emulator/report/OutcomeStatisticsTest.java
+++ b/src/test/java/hazelspoke/emulator/report/OutcomeStatisticsTest.java
@@ -15,10 +15,10 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Whatever happened, the sums add up. */
+/** Tests that the sums of the statistics are consistent for any outcomes. */
 class OutcomeStatisticsTest {
   @Property(tries = 200, seed = "1")
-  void everyRequestIsCountedOnceByTimeAndByClass(
+  void countsEveryRequestOncePerIntervalAndClass(
       @ForAll @IntRange(max = 500) int count, @ForAll long seed) throws Exception {
     Script script = ScriptReader.read("x", "length_s = 23\n[load]\nrate = 5\n");
     Random random = new Random(seed);
@@ -31,17 +31,17 @@
               Result.values()[random.nextInt(3)],
               2_000 * random.nextDouble()));
     }
-    OutcomeStatistics tally = new OutcomeStatistics(script, outcomes);
-    List<Results.Window> windows = tally.windows(OutcomeStatistics.WINDOW_MS);
+    OutcomeStatistics statistics = new OutcomeStatistics(script, outcomes);
+    List<Results.Window> windows = statistics.windows(OutcomeStatistics.WINDOW_MS);
     assertThat(windows).hasSize(5);
     assertThat(windows.stream().mapToInt(Results.Window::requested).sum()).isEqualTo(count);
-    assertThat(tally.windows(OutcomeStatistics.PLOT_MS)).hasSize(23);
+    assertThat(statistics.windows(OutcomeStatistics.PLOT_MS)).hasSize(23);
     for (Results.Window w : windows) {
       assertThat(w.inTime() + w.late() + w.refused() + w.failed()).isEqualTo(w.requested());
     }
     int inTime = 0;
     int requested = 0;
-    for (Results.ClassResult c : tally.classes().values()) {
+    for (Results.ClassResult c : statistics.classes().values()) {
       assertThat(c.served() + c.refused() + c.failed()).isEqualTo(c.requested());
       assertThat(c.inTime()).isLessThanOrEqualTo(c.served());
       inTime += c.inTime();
@@ -52,11 +52,11 @@
   }
 
   @Test
-  void quantilesAreOfWhatIsThere() {
-    Quantiles some = new Quantiles(new double[] {5, 1, 4, 2, 3});
-    assertThat(some.at(0.5)).isEqualTo(3);
-    assertThat(some.at(0.99)).isEqualTo(5);
-    assertThat(some.at(0)).isEqualTo(1);
+  void quantilesAreValuesOfTheSample() {
+    Quantiles quantiles = new Quantiles(new double[] {5, 1, 4, 2, 3});
+    assertThat(quantiles.at(0.5)).isEqualTo(3);
+    assertThat(quantiles.at(0.99)).isEqualTo(5);
+    assertThat(quantiles.at(0)).isEqualTo(1);
     assertThat(new Quantiles(new double[0]).at(0.5)).isNaN();
   }
 }
--- a/src/test/java/hazelspoke/emulator/script/ScriptReaderTest.java
+++ b/src/test/java/hazelspoke/emulator/script/ScriptReaderTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A script is read whole, or refused with its file, line and key. */
+/** Tests that a script is read completely or rejected with its file, line and key. */
 class ScriptReaderTest {
-  private static final String LEAST = "length_s = 10\n[load]\nrate = 5\n";
+  private static final String MINIMAL = "length_s = 10\n[load]\nrate = 5\n";
 
   static Stream<Path> shipped() throws IOException {
     return Files.list(Path.of("rehearsals")).filter(f -> f.toString().endsWith(".toml"));
@@ -27,14 +27,14 @@
 
   @ParameterizedTest
   @MethodSource("shipped")
-  void everyScriptThatComesAlongIsGood(Path script) throws Exception {
+  void readsEveryShippedScript(Path script) throws Exception {
     assertThat(ScriptReader.read(script.toString(), Files.readString(script)).lengthMs())
         .isPositive();
   }
 
   @Test
-  void whatIsNotSaidHasTheUsualFigures() throws Exception {
-    Script script = ScriptReader.read("x", LEAST);
+  void usesDefaultsForMissingKeys() throws Exception {
+    Script script = ScriptReader.read("x", MINIMAL);
     assertThat(script.lengthMs()).isEqualTo(10_000);
     assertThat(script.classes())
         .extracting(Script.RequestClass::name)
@@ -45,11 +45,11 @@
   }
 
   @Test
-  void aFaultIsReadWithAllItsFigures() throws Exception {
+  void readsAllParametersOfAFault() throws Exception {
     Script script =
         ScriptReader.read(
             "x",
-            LEAST
+            MINIMAL
                 + "[[fault]]\nwhat = \"errors\"\nat_s = 2\nfor_s = 3\nkind = \"small\"\n"
                 + "share = 0.5\nfrom = 0.1\nto = 0.4\n");
     Fault fault = script.faults().get(0);
@@ -86,24 +86,25 @@
           length_s = 9\\n[load]\\nrate = 5\\n[fleet]\\napart=["s1"]\\n[[fault]]\\nwhat="slow"\\nat_s=1\\nfor_s=1\\nfactor=2\\nhosts=["s1"] | 11 | fault[1].hosts: s1 runs apart
           length_s = 9\\n[load]\\nrate = 5\\n[[class]]\\nname="a"\\n[[class]]\\nname="a" | 7 | class[2].name: expected a name of its own
           """)
-  void aBadOneIsRefusedWithItsLineAndKey(String text, int line, String what) {
+  void rejectsInvalidScriptWithLineAndKey(String text, int line, String what) {
     assertThatThrownBy(() -> ScriptReader.read("bad.toml", text.replace("\\n", "\n")))
         .isInstanceOf(ScriptException.class)
         .hasMessageStartingWith("bad.toml:" + line + ": " + what)
         .hasMessageNotContaining("\n");
   }
 
-  /** Whatever is done to a good script: it is read, or one line says where it is wrong. */
+  /**
+   * A valid script with random edits is either read or rejected with one line that names the
+   * position.
+   */
   @Property(tries = 400, seed = "1")
-  void aSpoiltScriptIsReadOrNamesItsLine(
-      @ForAll @IntRange(max = 8) int which,
-      @ForAll long seed,
-      @ForAll @IntRange(max = 6) int spoils)
+  void readsEditedScriptOrNamesItsLine(
+      @ForAll @IntRange(max = 8) int which, @ForAll long seed, @ForAll @IntRange(max = 6) int edits)
       throws IOException {
     List<Path> all = shipped().sorted().toList();
     StringBuilder text = new StringBuilder(Files.readString(all.get(which % all.size())));
     Random random = new Random(seed);
-    for (int i = 0; i < spoils; i++) {
+    for (int i = 0; i < edits; i++) {
       int at = random.nextInt(text.length());
       switch (random.nextInt(4)) {
         case 0 -> text.deleteCharAt(at);
