--- a/src/main/java/hazelspoke/emulator/judge/RuleChecker.java
+++ b/src/main/java/hazelspoke/emulator/judge/RuleChecker.java
@@ -132,7 +132,7 @@
     double end = Double.isNaN(t.endedAt) ? Double.POSITIVE_INFINITY : t.endedAt;
     for (Attempt a : attempts) {
       if (a.earliest > end + slackMs) {
-        report(Rule.LOST, t, attempts, "sent to " + a.host + "  after the client attempt ended");
+        report(Rule.LOST, t, attempts, "sent to " + a.host + " after the client attempt ended");
         return;
       }
     }
@@ -155,7 +155,7 @@
             Rule.TWICE,
             t,
             attempts,
-            "sent to " + a.host + "  although an earlier attempt may have run");
+            "sent to " + a.host + " although an earlier attempt may have run");
         return;
       }
       if (ran != null && a.group != ran.group) {
@@ -163,7 +163,7 @@
             Rule.TWICE,
             t,
             attempts,
-            "sent to another group  although an earlier attempt may have run");
+            "sent to another group although an earlier attempt may have run");
         return;
       }
       if (ran != null && a.earliest - ran.receivedAt > type.windowMs() + slackMs) {
@@ -175,7 +175,7 @@
       }
     }
     if (t.refused() && ran != null && ran.earliest <= t.endedAt) {
-      report(Rule.TWICE, t, attempts, "refused  although an earlier attempt may have run");
+      report(Rule.TWICE, t, attempts, "refused although an earlier attempt may have run");
     }
   }
 
--- a/src/main/java/hazelspoke/emulator/report/TextReport.java
+++ b/src/main/java/hazelspoke/emulator/report/TextReport.java
@@ -99,10 +99,10 @@
           g.site(),
           g.requested(),
           g.answered(),
-          figure(mean(g.cpu()), "%.2f"),
-          figure(max(g.cpu()), "%.2f"),
-          figure(max(g.memoryMb()), "%.0f"),
-          figure(max(g.descriptors()), "%.0f"));
+          format(mean(g.cpu()), "%.2f"),
+          format(max(g.cpu()), "%.2f"),
+          format(max(g.memoryMb()), "%.0f"),
+          format(max(g.descriptors()), "%.0f"));
     }
   }
 
@@ -127,9 +127,9 @@
             String.format(
                 Locale.ROOT,
                 " |%8s %4s %4s",
-                figure(mean(part(g.cpu(), from, to)), "%.2f"),
-                figure(max(part(g.memoryMb(), from, to)), "%.0f"),
-                figure(max(part(g.descriptors(), from, to)), "%.0f")));
+                format(mean(part(g.cpu(), from, to)), "%.2f"),
+                format(max(part(g.memoryMb(), from, to)), "%.0f"),
+                format(max(part(g.descriptors(), from, to)), "%.0f")));
       }
       line("%s", row);
     }
@@ -144,7 +144,7 @@
   public void verdict(Results r) {
     line("");
     for (Violation b : r.violations().stream().limit(MAX_VIOLATIONS).toList()) {
-      line("BROKEN %s: %s at %.0f ms: %s", b.rule().reportName(), b.txn(), b.atMs(), b.what());
+      line("VIOLATED %s: %s at %.0f ms: %s", b.rule().reportName(), b.txn(), b.atMs(), b.what());
       b.details().forEach(d -> line("    %s", d));
     }
     if (r.violations().size() > MAX_VIOLATIONS) {
@@ -153,21 +153,21 @@
     StringBuilder rules = new StringBuilder();
     r.rules()
         .forEach((rule, n) -> rules.append(' ').append(rule.reportName()).append(' ').append(n));
-    line("breaches:%s; crashes %d", rules, r.crashes());
+    line("violations:%s; crashes %d", rules, r.crashes());
     if (r.record() != null) {
       line("the fleet's record: %s", r.record().summary());
     }
     line(
-        "the emulator's own lateness: arrivals p99 %.1f ms, at most %.1f; its loop p99 %.1f ms, at"
+        "lag of the emulator: arrivals p99 %.1f ms, at most %.1f; its loop p99 %.1f ms, at"
             + " most %.1f",
         r.emulatorLag().arrivalsP99(),
         r.emulatorLag().arrivalsMax(),
         r.emulatorLag().loopP99(),
         r.emulatorLag().loopMax());
     if (r.emulatorLag().ranLate()) {
-      line("THE EMULATOR RAN LATE: this rehearsal counts for nothing");
+      line("THE EMULATOR RAN LATE: this rehearsal is invalid");
     } else {
-      line(r.allRulesKept() ? "all rules kept" : "RULES BROKEN");
+      line(r.allRulesKept() ? "all rules kept" : "RULES VIOLATED");
     }
   }
 
@@ -184,10 +184,10 @@
   }
 
   private static String ms(double value) {
-    return figure(value, "%.0f");
+    return format(value, "%.0f");
   }
 
-  private static String figure(double value, String format) {
+  private static String format(double value, String format) {
     return Double.isNaN(value) ? "-" : String.format(Locale.ROOT, format, value);
   }
 }
